--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/content_keys.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/content_keys.py
@@ -1,7 +1,7 @@
-"""Keys that tell whether two attempts ask for the same thing.
+"""Content keys: hashes that identify requests with the same content.
 
-A caller that asks again does so under a new id. What stays the same is what
-an endpoint is given to work on, and for whom.
+A caller that repeats a request does so under a new request id. The content
+that an endpoint works on, and the account, stay the same.
 """
 
 import hashlib
@@ -10,8 +10,8 @@
 from mimosamux_daemon.domain.names import AccountId, ContentKey
 
 KEY_BYTES = 16
-"""Long enough that nobody finds a second content with the same key."""
-LENGTH_BYTES = 8
+"""Digest size, large enough to make collisions infeasible to find."""
+LENGTH_PREFIX_BYTES = 8
 
 
 def find_content_key(
@@ -19,8 +19,8 @@
 ) -> ContentKey:
     """Return the key of a request's method, host, path, account and body.
 
-    Each is hashed behind its length: where one ends and the next begins is
-    not for a caller to choose.
+    Each part is prefixed by its length, so that a caller cannot make other
+    parts hash alike by moving the boundary between two of them.
     """
     digest = hashlib.blake2b(digest_size=KEY_BYTES)
     for part in (
@@ -30,6 +30,6 @@
         b'' if account is None else account.encode(),
         request.body,
     ):
-        digest.update(len(part).to_bytes(LENGTH_BYTES, 'big'))
+        digest.update(len(part).to_bytes(LENGTH_PREFIX_BYTES, 'big'))
         digest.update(part)
     return ContentKey(digest.hexdigest())
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/crash_exchange.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/crash_exchange.py
@@ -1,4 +1,8 @@
-"""What daemons tell each other of crashes and of what ran there."""
+"""Replicates crash suspicions between daemons.
+
+Each daemon broadcasts the crashes that it detects, the contents that are
+cleared and the crashes that are withdrawn.
+"""
 
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
@@ -26,52 +30,53 @@
 
 MS_PER_S = 1000
 TOLD_AT_ONCE = 256
-"""Suspects in one message."""
-OWN = 'own'
+"""Largest number of suspects in one message."""
+LOCAL = 'own'
+"""Log value for what this daemon detected itself."""
 
 Listener = Callable[[ContentKey], None]
 
 
 @dataclass(kw_only=True, slots=True)
 class CrashExchange:
-    """Keeps the suspects of all daemons the same."""
+    """Keeps the suspects of all daemons in sync."""
 
     suspects: CrashSuspects
     states: PeerStates
     peers: PeerLinks
     clock: Callable[[], float]
     on_suspected: list[Listener] = field(default_factory=list)
-    """Told of each content whose crashes have changed by what is seen here,
-    or by one that was taken back."""
+    """Called with each content whose crashes changed because this daemon
+    detected a crash, or because a crash was withdrawn."""
     on_cleared: list[Listener] = field(default_factory=list)
-    """Told of each content that is cleared, here or at a peer."""
+    """Called with each content that is cleared, here or at a peer."""
 
     def __post_init__(self) -> None:
-        self.peers.handle(SuspectsTold, self._take_suspects)
-        self.peers.handle(SuspectsCleared, self._take_cleared)
-        self.peers.handle(CrashWithdrawn, self._take_withdrawn)
-        self.states.on_joined.append(self._tell_all)
+        self.peers.handle(SuspectsTold, self._receive_suspects)
+        self.peers.handle(SuspectsCleared, self._receive_cleared)
+        self.peers.handle(CrashWithdrawn, self._receive_withdrawn)
+        self.states.on_joined.append(self._send_all)
 
     def note_crash(
         self, start: EndpointStart, contents: Iterable[ContentKey]
     ) -> None:
-        """Suspect what was under way where an endpoint crashed."""
-        news = []
+        """Suspect the contents that were running at a crashed endpoint."""
+        changed_contents = []
         for content in sorted(contents):
             suspect = Suspect(
                 content=content,
                 crashed=frozenset({start}),
                 last_at=self.clock(),
             )
-            if self.take(suspect, source=OWN):
-                news.append(content)
-        self._queue(news)
-        for content in news:
+            if self.take(suspect, source=LOCAL):
+                changed_contents.append(content)
+        self._broadcast(changed_contents)
+        for content in changed_contents:
             for listener in self.on_suspected:
                 listener(content)
 
-    def withdraw(self, start: EndpointStart, *, source: str = OWN) -> bool:
-        """Take back a crash everywhere; False if that was done before."""
+    def withdraw(self, start: EndpointStart, *, source: str = LOCAL) -> bool:
+        """Withdraw a crash at all daemons; False if it was done before."""
         changed = self.suspects.withdraw(start)
         if changed is None:
             return False
@@ -82,15 +87,15 @@
             source=source,
         )
         for content in changed:
-            is_left = self.suspects.crashes(content) > 0
-            listeners = self.on_suspected if is_left else self.on_cleared
+            is_suspected = self.suspects.crashes(content) > 0
+            listeners = self.on_suspected if is_suspected else self.on_cleared
             for listener in listeners:
                 listener(content)
-        if source == OWN or self.states.passes_on:
+        if source == LOCAL or self.states.passes_on:
             self.states.queue(CrashWithdrawn(endpoint=str(start)))
         return True
 
-    async def _take_withdrawn(
+    async def _receive_withdrawn(
         self, sender: DaemonId, message: CrashWithdrawn
     ) -> None:
         start = parse_start(message.endpoint)
@@ -98,28 +103,28 @@
             self.withdraw(start, source=sender)
 
     def tell_cleared(self, content: ContentKey, *, source: str) -> None:
-        """Have a content cleared everywhere that is cleared here."""
+        """Broadcast that a content was cleared at this daemon."""
         log.info('suspect_cleared', content=content, source=source)
         self.states.queue(SuspectsCleared(contents=[content]))
         for listener in self.on_cleared:
             listener(content)
 
     def take(self, suspect: Suspect, *, source: str) -> bool:
-        """Take what is known of a content; False if nothing is new."""
+        """Merge and log crashes of a content; False if none is new."""
         if not self.suspects.add(suspect):
             return False
         content = suspect.content
-        left_s = self.suspects.held_s(content)
-        if left_s > 0:
+        quarantine_s = self.suspects.held_s(content)
+        if quarantine_s > 0:
             log.warning(
                 'content_held',
                 content=content,
                 crashes=self.suspects.crashes(content),
                 endpoints=join_ids(self.suspects.by_content[content].crashed),
-                held_s=round(left_s, 1),
+                held_s=round(quarantine_s, 1),
                 source=source,
             )
-        elif source == OWN and self.suspects.crashes(content) > 1:
+        elif source == LOCAL and self.suspects.crashes(content) > 1:
             log.info(
                 'content_suspected',
                 content=content,
@@ -127,20 +132,24 @@
             )
         return True
 
-    def _queue(self, contents: Iterable[ContentKey]) -> None:
-        for message in self._messages(contents):
+    def _broadcast(self, contents: Iterable[ContentKey]) -> None:
+        for message in self._build_messages(contents):
             self.states.queue(message)
 
-    def _messages(self, contents: Iterable[ContentKey]) -> list[SuspectsTold]:
-        # Many at once may have made the first of them go again.
+    def _build_messages(
+        self, contents: Iterable[ContentKey]
+    ) -> list[SuspectsTold]:
+        # Some contents may have been evicted since they were added.
         known = map(self.suspects.by_content.get, contents)
-        told = [self._tell(suspect) for suspect in known if suspect]
+        records = [self._as_message(suspect) for suspect in known if suspect]
         return [
-            SuspectsTold(suspects=told[place : place + TOLD_AT_ONCE])
-            for place in range(0, len(told), TOLD_AT_ONCE)
+            SuspectsTold(
+                suspects=records[start_index : start_index + TOLD_AT_ONCE]
+            )
+            for start_index in range(0, len(records), TOLD_AT_ONCE)
         ]
 
-    def _tell(self, suspect: Suspect) -> SuspectTold:
+    def _as_message(self, suspect: Suspect) -> SuspectTold:
         age_s = self.clock() - suspect.last_at
         return SuspectTold(
             content=suspect.content,
@@ -148,35 +157,36 @@
             age_ms=int(max(age_s, 0.0) * MS_PER_S),
         )
 
-    async def _tell_all(self, id_: DaemonId) -> None:
-        """Tell a process that has just started what is known here."""
-        for message in self._messages(tuple(self.suspects.by_content)):
+    async def _send_all(self, id_: DaemonId) -> None:
+        """Send all suspects to a daemon that has just started."""
+        for message in self._build_messages(tuple(self.suspects.by_content)):
             await self.peers.notify(id_, message)
 
-    async def _take_suspects(
+    async def _receive_suspects(
         self, sender: DaemonId, message: SuspectsTold
     ) -> None:
-        news, unknown_there = [], []
-        for told in message.suspects:
-            suspect = self._parse(told)
+        changed_contents, missing_at_sender = [], []
+        for record in message.suspects:
+            suspect = self._parse(record)
             if suspect is None:
                 log.warning('suspect_unreadable', peer=sender)
                 continue
             if self.take(suspect, source=sender):
-                news.append(suspect.content)
+                changed_contents.append(suspect.content)
             elif self.suspects.has_run_whole(suspect.content):
                 self.states.queue(SuspectsCleared(contents=[suspect.content]))
             known = self.suspects.by_content.get(suspect.content)
             if known is not None and known.crashed > suspect.crashed:
-                unknown_there.append(suspect.content)
-        if news and self.states.passes_on:
-            self._queue(news)
-        # A sender that missed a message, behind a cut perhaps, would let
-        # the content crash as many endpoints once more.
-        for answer in self._messages(unknown_there):
+                missing_at_sender.append(suspect.content)
+        if changed_contents and self.states.passes_on:
+            self._broadcast(changed_contents)
+        # The sender may have missed messages, for example in a network
+        # partition. With fewer known crashes it would let the content crash
+        # as many endpoints again.
+        for answer in self._build_messages(missing_at_sender):
             await self.peers.notify(sender, answer)
 
-    async def _take_cleared(
+    async def _receive_cleared(
         self, sender: DaemonId, message: SuspectsCleared
     ) -> None:
         cleared = [
@@ -191,13 +201,13 @@
         if cleared and self.states.passes_on:
             self.states.queue(SuspectsCleared(contents=list(cleared)))
 
-    def _parse(self, told: SuspectTold) -> Suspect | None:
-        starts = [parse_start(text) for text in told.endpoints]
+    def _parse(self, record: SuspectTold) -> Suspect | None:
+        starts = [parse_start(text) for text in record.endpoints]
         crashed = frozenset(start for start in starts if start is not None)
-        if not told.content or not crashed or None in starts:
+        if not record.content or not crashed or None in starts:
             return None
         return Suspect(
-            content=ContentKey(told.content),
+            content=ContentKey(record.content),
             crashed=crashed,
-            last_at=self.clock() - told.age_ms / MS_PER_S,
+            last_at=self.clock() - record.age_ms / MS_PER_S,
         )
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/crash_holds.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/crash_holds.py
@@ -1,4 +1,7 @@
-"""Which requests are held back, as those who pass them on ask."""
+"""Decides whether a request may be sent, from the crashes of its content.
+
+Contents that repeatedly crash endpoints are quarantined; see crash_suspects.
+"""
 
 from dataclasses import dataclass
 
@@ -12,19 +15,20 @@
 log = get_log('crash_holds')
 
 TRIAL_RETRY_S = 1.0
-"""When to come again while a content is tried."""
+"""Retry-after time in seconds of requests that are refused while a probe
+request decides about their content."""
 
 
 @dataclass(kw_only=True, slots=True)
 class CrashHolds:
-    """Decides whether a content may be sent, and sent on."""
+    """Decides whether a content may be sent, and sent again."""
 
     suspects: CrashSuspects
     trials: CrashTrials
     exchange: CrashExchange
 
     def find_refusal(self, content: ContentKey) -> Refused | None:
-        """Return why a request is not begun now, None if it may be."""
+        """Return the refusal of a new request, None if it may be sent."""
         left_s = self.suspects.held_s(content)
         if left_s <= 0 and not self.suspects.is_on_trial(content):
             return None
@@ -44,34 +48,35 @@
         )
 
     def is_suspected(self, content: ContentKey) -> bool:
-        """Whether endpoints crashed under a content."""
+        """Whether any endpoint crashed while running a content."""
         return self.suspects.crashes(content) > 0
 
     def is_held(self, content: ContentKey) -> bool:
-        """Whether a content is held back at the moment."""
+        """Whether a content is in quarantine."""
         return self.suspects.held_s(content) > 0
 
     def may_go_on(self, content: ContentKey, *, is_unrun: bool) -> bool:
-        """Whether a content may go on at a further endpoint.
+        """Whether a failed request may be sent to another endpoint.
 
-        One that has run and failed just now may have crashed its endpoint,
-        which is known only a moment later.
+        `is_unrun` says that the endpoint did not run the request. If it did,
+        the request may have crashed the endpoint, which is detected only a
+        moment later.
         """
         if self.is_held(content):
             return False
         return is_unrun or self.suspects.may_go_on(content)
 
     def note_whole(self, content: ContentKey) -> None:
-        """Note that a content has run from its start to its end.
+        """Record that a content ran from start to end at one endpoint.
 
-        One that went on behind the events of a crashed endpoint has not:
-        it may end what it begins each time, a few events further.
+        A stream that was resumed after an endpoint crashed does not count:
+        it may crash each endpoint a few events further on and still complete.
         """
         if self.suspects.note_whole(content):
             self.exchange.tell_cleared(content, source='a whole run')
 
     def release(self, content: ContentKey) -> bool:
-        """Let go a content for an operator; False if it is not known."""
+        """Clear a content for an operator; False if it is no suspect."""
         if not self.suspects.clear(content):
             return False
         self.exchange.tell_cleared(content, source='an operator')
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/crash_rows.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/crash_rows.py
@@ -1,7 +1,8 @@
-"""Rows of the platform's table that keep suspects beyond a loss of all.
+"""Persists crash suspects in the platform's table.
 
-Daemons tell each other first. The rows are for those that start anew while
-nobody is left who knows, and for daemons that cannot reach each other.
+Daemons primarily send suspects to each other. The rows serve daemons that
+start when no daemon is left that knows the suspects, and daemons that cannot
+reach each other.
 """
 
 from collections.abc import Callable
@@ -28,90 +29,97 @@
 
 PREFIX = 'crashes/'
 RETRY_S = 0.5
-PAGE = 500
-KEPT_FROM = 2
-"""Crashes from which on a suspect is kept. Most are neighbours of a single
-one, and a call for each would tell nobody anything."""
-TRIES = 3
-"""Writes of one suspect in a row; each that fails has learned what another
-daemon wrote meanwhile."""
-ORPHAN_S = 7200.0
-"""Age from which on rows of suspects that count no more are deleted. Each
-daemon that starts does so, so it is seldom."""
+PAGE_ROWS = 500
+MIN_WRITTEN_CRASHES = 2
+"""Crashes from which on a suspect is written. Most suspects are bystanders of
+a single crash, and a call to the table for each of them would be wasted."""
+MAX_WRITE_ATTEMPTS = 3
+"""Attempts to write one suspect; each conflict reads the row that another
+daemon wrote in between."""
+ORPHAN_AGE_S = 7200.0
+"""Age from which on the rows of expired suspects are deleted. Each daemon
+does so only at its start."""
 
 
 @dataclass(kw_only=True, slots=True)
 class CrashRows:
-    """Reads the rows at the start, and keeps them afterwards."""
+    """Reads the rows at the start and writes changes afterwards."""
 
     table: Table
     exchange: CrashExchange
     states: PeerStates
     clock: Callable[[], float]
     store_time: Callable[[], float | None]
-    """The store's clock in seconds, None before it was ever seen."""
+    """Returns the store's time in seconds, None while it is unknown."""
     first_read: anyio.Event = field(default_factory=anyio.Event)
+    """Set once all rows were read."""
     _version_by_content: dict[ContentKey, int] = field(default_factory=dict)
     _changed: dict[ContentKey, None] = field(default_factory=dict)
     _cleared: dict[ContentKey, None] = field(default_factory=dict)
-    _woken: anyio.Event = field(default_factory=anyio.Event)
+    _has_work: anyio.Event = field(default_factory=anyio.Event)
 
     def __post_init__(self) -> None:
-        self.exchange.on_suspected.append(self._note_suspected)
-        self.exchange.on_cleared.append(self._note_cleared)
+        self.exchange.on_suspected.append(self._queue_write)
+        self.exchange.on_cleared.append(self._queue_delete)
 
     async def run(self) -> None:
-        """Read until it is done once, then write until cancelled."""
-        await self._read_once()
+        """Read all rows once, then write changes until cancelled."""
+        await self._read_until_done()
         self.first_read.set()
         while True:
-            await self._woken.wait()
-            self._woken = anyio.Event()
+            await self._has_work.wait()
+            self._has_work = anyio.Event()
             if not await self._write_all():
                 await anyio.sleep(RETRY_S)
-                self._woken.set()
+                self._has_work.set()
 
-    async def _read_once(self) -> None:
+    async def _read_until_done(self) -> None:
         while True:
-            if await self._read():
+            if await self._read_all():
                 return
             await anyio.sleep(RETRY_S)
 
-    def _note_suspected(self, content: ContentKey) -> None:
+    def _queue_write(self, content: ContentKey) -> None:
         crashes = self.exchange.suspects.crashes(content)
-        everybody_heard = len(self.states.fresh()) == len(self.states.by_id)
-        is_kept = content in self._version_by_content
-        if crashes >= KEPT_FROM or is_kept or not everybody_heard:
+        all_peers_reachable = len(self.states.fresh()) == len(
+            self.states.by_id
+        )
+        has_row = content in self._version_by_content
+        if (
+            crashes >= MIN_WRITTEN_CRASHES
+            or has_row
+            or not all_peers_reachable
+        ):
             self._changed[content] = None
             self._cleared.pop(content, None)
-            self._woken.set()
+            self._has_work.set()
 
-    def _note_cleared(self, content: ContentKey) -> None:
+    def _queue_delete(self, content: ContentKey) -> None:
         self._changed.pop(content, None)
         self._cleared[content] = None
-        self._woken.set()
+        self._has_work.set()
 
-    async def _read(self) -> bool:
+    async def _read_all(self) -> bool:
         after = ''
         while True:
-            rows = await self.table.scan(PREFIX, after=after, limit=PAGE)
+            rows = await self.table.scan(PREFIX, after=after, limit=PAGE_ROWS)
             if isinstance(rows, Unavailable):
                 return False
             for row in rows:
-                self._take(row)
-            if len(rows) < PAGE:
+                self._apply_row(row)
+            if len(rows) < PAGE_ROWS:
                 return True
             after = rows[-1].key
 
-    def _take(self, row: Row) -> None:
+    def _apply_row(self, row: Row) -> None:
         content = ContentKey(row.key.removeprefix(PREFIX))
         self._version_by_content[content] = row.version
         suspect = self._parse(content, row)
         if suspect is None:
             return
         is_past = self.exchange.suspects.is_past(suspect)
-        if is_past and self.clock() - suspect.last_at > ORPHAN_S:
-            self._note_cleared(content)
+        if is_past and self.clock() - suspect.last_at > ORPHAN_AGE_S:
+            self._queue_delete(content)
         else:
             self.exchange.take(suspect, source='the table')
 
@@ -132,7 +140,7 @@
         )
 
     async def _write_all(self) -> bool:
-        """Write what has changed; False if some of it is left."""
+        """Write all changes; False if the table does not answer."""
         while self._changed or self._cleared:
             if self._cleared:
                 content = next(iter(self._cleared))
@@ -156,7 +164,7 @@
         return True
 
     async def _write(self, content: ContentKey) -> bool:
-        for _ in range(TRIES):
+        for _ in range(MAX_WRITE_ATTEMPTS):
             value = self._render(content)
             if value is None:
                 break
@@ -173,7 +181,7 @@
                 break
             self._version_by_content[content] = 0
             if outcome.found is not None:
-                self._take(outcome.found)
+                self._apply_row(outcome.found)
         self._changed.pop(content, None)
         return True
 
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/crash_suspects.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/crash_suspects.py
@@ -1,10 +1,12 @@
-"""Which requests are suspected of crashing the endpoints that run them.
-
-Whatever ran at an endpoint when it crashed is suspected, the cause and its
-neighbours alike. What tells them apart comes afterwards: neighbours run whole
-elsewhere and are cleared, and the cause never does. A content under which
-several endpoints crashed, and that has not run whole meanwhile, is held back.
-After a while that grows with each further crash it is tried once.
+"""Tracks which requests are suspected of crashing endpoints.
+
+Requests are identified by their content key. When an endpoint crashes, every
+content that was running there becomes a suspect, the cause and bystanders
+alike. A bystander later runs to completion elsewhere, which clears it; the
+cause never does. A content that was present at several crashes without a
+complete run since is quarantined: its requests are refused. The quarantine
+grows exponentially with each further crash. When it ends, one probe request
+is sent.
 """
 
 from collections.abc import Callable, Iterable, Iterator
@@ -13,35 +15,42 @@
 from mimosamux_daemon.domain.names import ContentKey, EndpointId
 
 HELD_FROM = 3
-"""Crashes from which on a content is held back. Neighbours of two crashes
-are common where several endpoints end one after the other."""
+"""Crashes from which on a content is quarantined. Two would not do: where
+several endpoints end one after the other, bystanders are often present at two
+crashes."""
 FIRST_HOLD_S = 30.0
-HOLD_FACTOR = 8.0
-"""Each further crash holds it back for so many times as long."""
+QUARANTINE_FACTOR = 8.0
+"""Factor by which each further crash extends the quarantine."""
 LONGEST_HOLD_S = 86_400.0
-MOST_STEPS = 8
+MAX_EXPONENT = 8
+"""Largest exponent of `QUARANTINE_FACTOR`."""
 RECENT_S = 5.0
-"""Time for which a whole run speaks for a content. What many callers ask
-for is often at several endpoints that crash at once."""
+"""Time after a complete run for which a content cannot become a suspect. A
+popular content is often running at several endpoints that crash at once."""
 MOST_RECENT = 1024
-MOST_CLEARED = 64
-"""Crashes that are remembered of one content that was cleared."""
-MOST_ALIVE = 1024
-"""Endpoints that are remembered to live on: news of their crash may still be
-under way."""
+"""Contents whose last complete run is remembered, and contents whose cleared
+crashes are."""
+MAX_CLEARED_CRASHES = 64
+"""Cleared crashes of one content beyond which the older ones are dropped."""
+MAX_WITHDRAWN = 1024
+"""Withdrawn crashes that are remembered, since late reports of them may still
+arrive."""
 KEEP_S = 600.0
-"""Time after its last crash for which a content is suspected at least."""
+"""Shortest time after its last crash for which a content is suspected."""
 MOST_SUSPECTS = 4096
-SWEEP_S = 10.0
-"""Time between two looks for suspects that are past."""
-EVICTED_SHARE = 4
-"""One in so many goes when there are too many: looked for one by one, each
-of the many that come with a crash would cost a look at all."""
+SWEEP_INTERVAL_S = 10.0
+"""Time between two removals of expired suspects."""
+EVICTION_DIVISOR = 4
+"""One suspect in this many is evicted when there are too many. Evicting them
+one by one would sort all suspects again for each content of a crash."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True, order=True)
 class EndpointStart:
-    """One process of an endpoint, which may start again under its id."""
+    """One process of an endpoint.
+
+    A restarted endpoint keeps its id and gets a new incarnation.
+    """
 
     id: EndpointId
     incarnation: int = 0
@@ -51,7 +60,7 @@
 
 
 def parse_start(text: str) -> EndpointStart | None:
-    """Return what `str` of a start gave, None if it is none."""
+    """Parse the `str` form of a process, None if it is malformed."""
     id_, _, number = text.rpartition('/')
     if not id_ or not number.isascii() or not number.isdigit():
         return None
@@ -60,25 +69,25 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Suspect:
-    """A content, and the crashes at which it was there."""
+    """A content and the endpoint processes that crashed while running it."""
 
     content: ContentKey
     crashed: frozenset[EndpointStart]
     last_at: float
-    """Time of the last crash, on the steady clock."""
+    """Time of the last crash in seconds, on the monotonic clock."""
 
     @property
     def hold_s(self) -> float:
-        """Return for how long it is held back after its last crash."""
+        """Return the length of the quarantine after the last crash."""
         beyond = len(self.crashed) - HELD_FROM
         if beyond < 0:
             return 0.0
-        # Bounded before the power is taken, which overflows.
-        steps = min(beyond, MOST_STEPS)
-        return min(FIRST_HOLD_S * HOLD_FACTOR**steps, LONGEST_HOLD_S)
+        # An unbounded exponent would overflow the power.
+        steps = min(beyond, MAX_EXPONENT)
+        return min(FIRST_HOLD_S * QUARANTINE_FACTOR**steps, LONGEST_HOLD_S)
 
     def merge(self, other: 'Suspect') -> 'Suspect':
-        """Return what both know together."""
+        """Return the union of both records of the same content."""
         return Suspect(
             content=self.content,
             crashed=self.crashed | other.crashed,
@@ -87,22 +96,24 @@
 
 
 class CrashSuspects:
-    """Suspected contents by key; only those take any memory."""
+    """Suspected contents by key, bounded in number."""
 
     def __init__(self, *, clock: Callable[[], float]) -> None:
         self.by_content: dict[ContentKey, Suspect] = {}
-        self._whole_at: dict[ContentKey, float] = {}
-        """Last whole runs, the oldest first."""
+        self._completed_at: dict[ContentKey, float] = {}
+        """Time of the last complete run, the oldest first."""
         self._cleared: dict[ContentKey, frozenset[EndpointStart]] = {}
-        """Crashes that a content was cleared of, against their late news."""
-        self._alive: dict[EndpointStart, None] = {}
+        """Crashes that a content was cleared of; late reports of them are
+        ignored."""
+        self._withdrawn: dict[EndpointStart, None] = {}
+        """Processes whose crash was withdrawn, the oldest first."""
         self._clock = clock
-        self._swept_at = clock()
+        self._last_sweep_at = clock()
 
     def add(self, suspect: Suspect) -> bool:
-        """Take what is known of a content; False if nothing is new."""
+        """Merge crashes of a content; False if none of them is new."""
         cleared = self._cleared.get(suspect.content, frozenset())
-        crashed = suspect.crashed - self._alive.keys() - cleared
+        crashed = suspect.crashed - self._withdrawn.keys() - cleared
         if not crashed:
             return False
         suspect = replace(suspect, crashed=crashed)
@@ -113,29 +124,32 @@
         if self.is_past(merged) or self.has_run_whole(suspect.content):
             return False
         self.by_content[suspect.content] = merged
-        self._keep_within_bounds()
+        self._evict()
         return True
 
     def note_whole(self, content: ContentKey) -> bool:
-        """Note a run from start to end; True if that clears a suspect."""
-        self._whole_at.pop(content, None)
-        self._whole_at[content] = self._clock()
-        if len(self._whole_at) > MOST_RECENT:
-            del self._whole_at[next(iter(self._whole_at))]
+        """Record a complete run; True if that clears a suspect."""
+        self._completed_at.pop(content, None)
+        self._completed_at[content] = self._clock()
+        if len(self._completed_at) > MOST_RECENT:
+            del self._completed_at[next(iter(self._completed_at))]
         return self.clear(content)
 
     def has_run_whole(self, content: ContentKey) -> bool:
-        """Whether a content has run whole a short time ago."""
-        whole_at = self._whole_at.get(content)
-        return whole_at is not None and self._clock() - whole_at < RECENT_S
+        """Whether a content had a complete run within `RECENT_S`."""
+        completed_at = self._completed_at.get(content)
+        return (
+            completed_at is not None
+            and self._clock() - completed_at < RECENT_S
+        )
 
     def clear(self, content: ContentKey) -> bool:
-        """Suspect a content no longer; False if it was not suspected."""
+        """Remove a suspect; False if the content was not suspected."""
         suspect = self.by_content.pop(content, None)
         if suspect is None:
             return False
         before = self._cleared.pop(content, frozenset())
-        if len(before) > MOST_CLEARED:
+        if len(before) > MAX_CLEARED_CRASHES:
             before = frozenset()
         self._cleared[content] = before | suspect.crashed
         if len(self._cleared) > MOST_RECENT:
@@ -143,15 +157,15 @@
         return True
 
     def withdraw(self, start: EndpointStart) -> tuple[ContentKey, ...] | None:
-        """Take back a crash that was none; return what it was held against.
+        """Withdraw a false crash; return the contents it was counted for.
 
-        None if it was taken back before.
+        None if the crash was withdrawn before.
         """
-        if start in self._alive:
+        if start in self._withdrawn:
             return None
-        self._alive[start] = None
-        if len(self._alive) > MOST_ALIVE:
-            del self._alive[next(iter(self._alive))]
+        self._withdrawn[start] = None
+        if len(self._withdrawn) > MAX_WITHDRAWN:
+            del self._withdrawn[next(iter(self._withdrawn))]
         changed = []
         for content, suspect in tuple(self.by_content.items()):
             if start not in suspect.crashed:
@@ -165,31 +179,32 @@
         return tuple(changed)
 
     def crashes(self, content: ContentKey) -> int:
-        """Return how many endpoints are known to have crashed under it."""
+        """Return how many endpoints crashed while running a content."""
         suspect = self._find(content)
         return 0 if suspect is None else len(suspect.crashed)
 
     def held_s(self, content: ContentKey) -> float:
-        """Return for how long a content is held back still."""
+        """Return the remaining quarantine of a content in seconds."""
         suspect = self._find(content)
         if suspect is None:
             return 0.0
         return max(0.0, suspect.last_at + suspect.hold_s - self._clock())
 
     def is_on_trial(self, content: ContentKey) -> bool:
-        """Whether a content was held back, and is to be tried now."""
+        """Whether the quarantine is over and a probe request is due."""
         is_held = self.crashes(content) >= HELD_FROM
         return is_held and self.held_s(content) == 0
 
     def may_go_on(self, content: ContentKey) -> bool:
-        """Whether it may go on at a further endpoint if its present fails.
+        """Whether a content that just failed may go to another endpoint.
 
-        That endpoint may have crashed just now, which is known only later.
+        The endpoint where it failed may have crashed without a report yet, so
+        one more crash is assumed.
         """
         return self.crashes(content) + 1 < HELD_FROM
 
     def held(self) -> Iterator[Suspect]:
-        """Return what is held back at the moment."""
+        """Yield the suspects that are in quarantine."""
         now = self._clock()
         for suspect in self.by_content.values():
             if suspect.last_at + suspect.hold_s > now:
@@ -200,28 +215,29 @@
         return None if suspect is None or self.is_past(suspect) else suspect
 
     def is_past(self, suspect: Suspect) -> bool:
-        """Whether its last crash is so long ago that it counts no more."""
-        kept_s = max(KEEP_S, 2 * suspect.hold_s)
-        return suspect.last_at + kept_s <= self._clock()
+        """Whether the last crash is too old for suspicion."""
+        lifetime_s = max(KEEP_S, 2 * suspect.hold_s)
+        return suspect.last_at + lifetime_s <= self._clock()
 
-    def _keep_within_bounds(self) -> None:
+    def _evict(self) -> None:
         now = self._clock()
         is_full = len(self.by_content) > MOST_SUSPECTS
-        if is_full or now - self._swept_at >= SWEEP_S:
-            self._swept_at = now
+        if is_full or now - self._last_sweep_at >= SWEEP_INTERVAL_S:
+            self._last_sweep_at = now
             for content, suspect in tuple(self.by_content.items()):
                 if self.is_past(suspect):
                     del self.by_content[content]
         if len(self.by_content) > MOST_SUSPECTS:
-            ranked = sorted(self.by_content.values(), key=_worth_keeping)
-            for suspect in ranked[: MOST_SUSPECTS // EVICTED_SHARE]:
+            ranked = sorted(self.by_content.values(), key=_eviction_key)
+            for suspect in ranked[: MOST_SUSPECTS // EVICTION_DIVISOR]:
                 del self.by_content[suspect.content]
 
 
-def _worth_keeping(suspect: Suspect) -> tuple[int, float]:
+def _eviction_key(suspect: Suspect) -> tuple[int, float]:
+    """Return the sort key for eviction; the lowest is evicted first."""
     return len(suspect.crashed), suspect.last_at
 
 
 def join_ids(starts: Iterable[EndpointStart]) -> str:
-    """Return the ids of endpoints as a log line or a message has them."""
+    """Return the distinct endpoint ids, sorted and joined by commas."""
     return ','.join(sorted({start.id for start in starts}))
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/crash_trials.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/crash_trials.py
@@ -1,7 +1,7 @@
-"""Who tries a content that was held back, and when.
+"""Limits probe requests for contents whose quarantine is over.
 
-One run decides whether a content still crashes what runs it. Tried by every
-daemon at once, it would end as many endpoints.
+A probe request shows whether a content still crashes endpoints. One daemon
+per content sends it: if every daemon did, as many endpoints could crash.
 """
 
 from collections.abc import Callable
@@ -12,13 +12,17 @@
 from mimosamux_daemon.gateway.peer_states import PeerStates
 
 TRIAL_S = 10.0
-"""Time from one trial of a content to the next that decides nothing, longer
-than it takes to find out whether an endpoint has crashed."""
+"""Shortest time between two probe requests for a content, longer than the
+detection of a crash takes."""
 
 
 @dataclass(kw_only=True, slots=True)
 class CrashTrials:
-    """Trials of this daemon; for each content one daemon has them."""
+    """Decides whether this daemon sends a probe request.
+
+    Rendezvous hashing over the daemons that are ready assigns each content to
+    one of them.
+    """
 
     states: PeerStates
     clock: Callable[[], float]
@@ -29,21 +33,22 @@
         self._started_at = self.clock()
 
     def begin(self, content: ContentKey) -> bool:
-        """Begin a trial; False if it is not for this daemon to do now."""
+        """Reserve a probe request; False if this daemon must not send it."""
         now = self.clock()
         if now - self._started_at < TRIAL_S:
-            # Until it has heard its peers it is first for everything.
+            # Before it knows its peers, the daemon would rank first for
+            # every content.
             return False
-        for tried, began_at in tuple(self._began_at.items()):
+        for probed, began_at in tuple(self._began_at.items()):
             if now - began_at >= TRIAL_S:
-                del self._began_at[tried]
-        if content in self._began_at or not self._is_own(content):
+                del self._began_at[probed]
+        if content in self._began_at or not self._is_responsible(content):
             return False
         self._began_at[content] = now
         return True
 
-    def _is_own(self, content: ContentKey) -> bool:
-        """Whether this daemon is first for a content among those ready."""
-        own = self.states.place.id
-        others = [peer.place.id for peer in self.states.ready()]
-        return rank([own, *others], content)[0] == own
+    def _is_responsible(self, content: ContentKey) -> bool:
+        """Whether this daemon ranks first for a content among those ready."""
+        own_id = self.states.place.id
+        peers = [peer.place.id for peer in self.states.ready()]
+        return rank([own_id, *peers], content)[0] == own_id
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/crash_watch.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/crash_watch.py
@@ -1,8 +1,8 @@
-"""Notices endpoints that crash.
+"""Detects endpoints that crash.
 
-A broken answer alone says little: connections are reset, and answers break
-off at endpoints that live on. Only where nothing listens at the endpoint any
-more, and nobody had said that it would leave, has its process crashed.
+A broken answer is no proof of a crash: connections are reset, and answers
+break off, at endpoints that live on. A process has crashed if nothing listens
+at the endpoint and the endpoint was not announced as leaving.
 """
 
 from collections.abc import Callable
@@ -21,80 +21,83 @@
 
 log = get_log('crash_watch')
 
-LOOK_AGAIN_S = 0.1
-"""Pause between two looks at an endpoint; one that is ending may take a
-connection yet."""
-LOOKS_PRESENT = 2
-"""Looks in a row that have to find an endpoint there."""
-ALIVE_S = 1.0
-"""Time after which the list has told whether an endpoint that answers again
-is another process under the same id."""
-UNDECIDED_S = 10.0
-"""Time after which an endpoint that neither answers nor leaves the list
-counts as cut off, not as crashed."""
+CHECK_INTERVAL_S = 0.1
+"""Pause between two checks of an endpoint: a process that is ending may still
+accept a connection."""
+CHECKS_ALIVE = 2
+"""Consecutive checks that must find a process before an endpoint counts as
+alive."""
+WITHDRAWAL_DELAY_S = 1.0
+"""Delay before a crash is withdrawn. By then the endpoint list shows whether
+the endpoint that answers is a new process under the same id."""
+DETECTION_TIMEOUT_S = 10.0
+"""Time after which an endpoint that neither answers nor leaves the endpoint
+list counts as partitioned, not as crashed."""
 
 
 @dataclass(kw_only=True, slots=True)
 class CrashWatch:
-    """Looks after endpoints at which answers broke."""
+    """Checks endpoints whose answers broke off."""
 
     exchange: CrashExchange
     calls: EndpointCalls
     metrics: GatewayMetrics
     clock: Callable[[], float]
-    _broken: dict[EndpointRecord, set[ContentKey]] = field(
+    _contents_by_record: dict[EndpointRecord, set[ContentKey]] = field(
         default_factory=dict
     )
-    """What was under way at endpoints that are looked after."""
-    _waiting: list[EndpointRecord] = field(default_factory=list)
+    """Contents whose answers broke off, by endpoint under check."""
+    _unchecked: list[EndpointRecord] = field(default_factory=list)
+    """Endpoints whose check has not begun."""
     _answering: list[EndpointRecord] = field(default_factory=list)
-    """Those that were taken for crashed and have answered since."""
-    _arrived: anyio.Event = field(default_factory=anyio.Event)
+    """Endpoints that were declared crashed and answer again."""
+    _has_work: anyio.Event = field(default_factory=anyio.Event)
 
     def note_broken(self, content: ContentKey, record: EndpointRecord) -> None:
-        """Note that the answer to a request broke off at an endpoint."""
+        """Record that an answer of an endpoint broke off."""
         if record.is_leaving:
             return
         if record.has_crashed:
-            self.exchange.note_crash(_start_of(record), (content,))
+            self.exchange.note_crash(_as_process(record), (content,))
             return
-        contents = self._broken.setdefault(record, set())
+        contents = self._contents_by_record.setdefault(record, set())
         contents.add(content)
         if len(contents) == 1:
-            self._waiting.append(record)
-            self._arrived.set()
+            self._unchecked.append(record)
+            self._has_work.set()
 
     def note_answer(self, record: EndpointRecord) -> None:
-        """Note that an endpoint has begun to answer.
+        """Record an answer, which disproves an earlier crash.
 
-        Behind a cut that refuses connections it looked as if it had crashed.
+        A network partition in which connections are refused looks like a
+        crash.
         """
         if record.has_crashed:
             record.has_crashed = False
             self._answering.append(record)
-            self._arrived.set()
+            self._has_work.set()
 
     async def run(self) -> None:
-        """Look after endpoints until cancelled."""
+        """Check endpoints deadline cancelled."""
         async with anyio.create_task_group() as tasks:
             while True:
-                await self._arrived.wait()
-                self._arrived = anyio.Event()
-                waiting, self._waiting = self._waiting, []
-                for record in waiting:
-                    tasks.start_soon(self._look_after, record)
+                await self._has_work.wait()
+                self._has_work = anyio.Event()
+                unchecked, self._unchecked = self._unchecked, []
+                for record in unchecked:
+                    tasks.start_soon(self._check, record)
                 answering, self._answering = self._answering, []
                 for record in answering:
                     tasks.start_soon(self._withdraw, record)
 
     async def _withdraw(self, record: EndpointRecord) -> None:
-        await anyio.sleep(ALIVE_S)
+        await anyio.sleep(WITHDRAWAL_DELAY_S)
         if record.gone_at is None:
-            self.exchange.withdraw(_start_of(record))
+            self.exchange.withdraw(_as_process(record))
 
-    async def _look_after(self, record: EndpointRecord) -> None:
-        has_crashed = await self._find_whether_crashed(record)
-        contents = self._broken.pop(record, set())
+    async def _check(self, record: EndpointRecord) -> None:
+        has_crashed = await self._detect_crash(record)
+        contents = self._contents_by_record.pop(record, set())
         if has_crashed:
             record.has_crashed = True
             service = record.listed.service
@@ -105,12 +108,12 @@
                 incarnation=record.incarnation,
                 contents=len(contents),
             )
-            self.exchange.note_crash(_start_of(record), contents)
+            self.exchange.note_crash(_as_process(record), contents)
 
-    async def _find_whether_crashed(self, record: EndpointRecord) -> bool:
-        until = self.clock() + UNDECIDED_S
-        present = 0
-        while self.clock() < until:
+    async def _detect_crash(self, record: EndpointRecord) -> bool:
+        deadline = self.clock() + DETECTION_TIMEOUT_S
+        times_alive = 0
+        while self.clock() < deadline:
             if record.listed.state is EndpointState.LEAVING:
                 return False
             if record.gone_at is not None:
@@ -118,13 +121,13 @@
             presence = await self.calls.look_for(record.listed)
             if presence is Presence.ENDED:
                 return True
-            present = present + 1 if presence is Presence.THERE else 0
-            if present >= LOOKS_PRESENT:
+            times_alive = times_alive + 1 if presence is Presence.THERE else 0
+            if times_alive >= CHECKS_ALIVE:
                 return False
-            await anyio.sleep(LOOK_AGAIN_S)
+            await anyio.sleep(CHECK_INTERVAL_S)
         log.info('endpoint_end_undecided', endpoint=record.id)
         return False
 
 
-def _start_of(record: EndpointRecord) -> EndpointStart:
+def _as_process(record: EndpointRecord) -> EndpointStart:
     return EndpointStart(id=record.id, incarnation=record.incarnation)
