--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/demand.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/demand.py
@@ -1,4 +1,9 @@
-"""How much work callers bring for each service, over all daemons."""
+"""Measures the offered load of each service, over all daemons.
+
+The offered load is the mean number of endpoints that the requests keep busy:
+the busy time that they cause, divided by the time in which they arrive. Each
+daemon adds up its own requests, and reports its total in the state digest.
+"""
 
 from collections import deque
 from collections.abc import Callable
@@ -9,110 +14,120 @@
 from mimosamux_daemon.domain.names import DaemonId, ServiceName
 from mimosamux_daemon.gateway.peer_states import PeerState
 
-STEP_S = 1.0
-"""Time over which work is added up to one point of the record."""
-SHORT_STEPS = 2
-"""Newest points that make the demand of now: long enough that the length
-of single prompts does not move it much."""
-KEPT_STEPS = 30
+BUCKET_S = 1.0
+"""Time span of one bucket of the history."""
+CURRENT_BUCKETS = 2
+"""Number of complete buckets that make up the current load: enough that the
+length of single prompts has little effect on it."""
+HISTORY_BUCKETS = 30
+"""Length of the history, the incomplete bucket included."""
 
 
 @dataclass(kw_only=True, slots=True)
-class _Record:
-    """Work of one service; the newest point is still being added to."""
+class _History:
+    """Busy time of one service in seconds, by bucket, oldest first.
+
+    The last bucket is incomplete.
+    """
 
-    points: deque[float] = field(
-        default_factory=lambda: deque([0.0], maxlen=KEPT_STEPS)
+    buckets: deque[float] = field(
+        default_factory=lambda: deque([0.0], maxlen=HISTORY_BUCKETS)
     )
-    own_s: float = 0.0
+    own_busy_s: float = 0.0
+    """Total busy time of the requests that this daemon received."""
     own_requests: int = 0
-    first_at: float | None = None
-    """When the first work came."""
-    told_by_peer: dict[DaemonId, tuple[int, int]] = field(default_factory=dict)
+    first_seen_at: float | None = None
+    """When the first request was observed."""
+    reported_by_peer: dict[DaemonId, tuple[int, int]] = field(
+        default_factory=dict
+    )
+    """Lifetime of each peer, and its total busy time in milliseconds."""
 
 
 class Demand:
-    """Work brought to this daemon and, as they tell it, to its peers."""
+    """Load of the requests to this daemon and, as reported, to its peers."""
 
     def __init__(self, *, clock: Callable[[], float]) -> None:
         self._clock = clock
-        self._step_ends_at = clock() + STEP_S
-        self._by_service: dict[ServiceName, _Record] = {}
+        self._bucket_ends_at = clock() + BUCKET_S
+        self._by_service: dict[ServiceName, _History] = {}
 
     def note(self, service: ServiceName, busy_s: float) -> None:
-        """Count a request that keeps one endpoint busy for a time."""
-        self._step()
-        record = self._record(service)
-        record.own_s += busy_s
-        record.own_requests += 1
-        self._add(record, busy_s)
-
-    def busy(self, service: ServiceName) -> float:
-        """Return how many endpoints the work of now keeps busy."""
-        self._step()
-        points = list(self._record(service).points)[:-1][-SHORT_STEPS:]
-        return sum(points) / (len(points) * STEP_S) if points else 0.0
-
-    def mean_s(self, service: ServiceName) -> float:
-        """Return the time for which a request here keeps an endpoint busy."""
-        record = self._record(service)
-        return record.own_s / max(record.own_requests, 1)
-
-    def busy_most(self, service: ServiceName) -> float:
-        """Return the highest such number of the last half minute."""
-        self._step()
-        points = list(self._record(service).points)[:-1]
+        """Count a request that keeps one endpoint busy for `busy_s`."""
+        self._advance()
+        history = self._history(service)
+        history.own_busy_s += busy_s
+        history.own_requests += 1
+        self._add(history, busy_s)
+
+    def offered_load(self, service: ServiceName) -> float:
+        """Return the current offered load, in endpoints."""
+        self._advance()
+        buckets = list(self._history(service).buckets)[:-1][-CURRENT_BUCKETS:]
+        return sum(buckets) / (len(buckets) * BUCKET_S) if buckets else 0.0
+
+    def mean_busy_s(self, service: ServiceName) -> float:
+        """Return the mean busy time of the requests to this daemon."""
+        history = self._history(service)
+        return history.own_busy_s / max(history.own_requests, 1)
+
+    def peak_offered_load(self, service: ServiceName) -> float:
+        """Return the highest offered load of the last half minute."""
+        self._advance()
+        buckets = list(self._history(service).buckets)[:-1]
         sums = [
-            sum(points[end - SHORT_STEPS : end])
-            for end in range(SHORT_STEPS, len(points) + 1)
+            sum(buckets[end - CURRENT_BUCKETS : end])
+            for end in range(CURRENT_BUCKETS, len(buckets) + 1)
         ]
         if not sums:
-            return self.busy(service)
-        return max(sums) / (SHORT_STEPS * STEP_S)
+            return self.offered_load(service)
+        return max(sums) / (CURRENT_BUCKETS * BUCKET_S)
 
-    def seen_s(self, service: ServiceName) -> float:
-        """Return for how long work has been coming for a service."""
-        first_at = self._record(service).first_at
-        return 0.0 if first_at is None else self._clock() - first_at
+    def observed_s(self, service: ServiceName) -> float:
+        """Return the time since the first request, 0 if there was none."""
+        first_seen_at = self._history(service).first_seen_at
+        return 0.0 if first_seen_at is None else self._clock() - first_seen_at
 
     def write(self, digest: StateDigest) -> None:
-        """Tell the work that was brought here."""
+        """Write the total busy time of this daemon's requests."""
         digest.demands.extend(
-            ServiceDemand(service=service, busy_ms=int(record.own_s * 1000))
-            for service, record in self._by_service.items()
+            ServiceDemand(
+                service=service, busy_ms=int(history.own_busy_s * 1000)
+            )
+            for service, history in self._by_service.items()
         )
 
     def take(self, peer: PeerState, digest: StateDigest) -> None:
-        """Add the work brought to a peer since it told last."""
-        self._step()
+        """Add the busy time that a peer reports beyond its last report."""
+        self._advance()
         for demand in digest.demands:
-            record = self._record(ServiceName(demand.service))
-            lifetime, before = record.told_by_peer.get(
+            history = self._history(ServiceName(demand.service))
+            lifetime, before = history.reported_by_peer.get(
                 peer.place.id, (peer.lifetime, demand.busy_ms)
             )
             if lifetime != peer.lifetime:
                 before = 0
-            record.told_by_peer[peer.place.id] = (
+            history.reported_by_peer[peer.place.id] = (
                 peer.lifetime,
                 demand.busy_ms,
             )
-            self._add(record, max(0, demand.busy_ms - before) / 1000)
+            self._add(history, max(0, demand.busy_ms - before) / 1000)
 
-    def _add(self, record: _Record, busy_s: float) -> None:
-        record.points[-1] += busy_s
-        if record.first_at is None and busy_s > 0:
-            record.first_at = self._clock()
+    def _add(self, history: _History, busy_s: float) -> None:
+        history.buckets[-1] += busy_s
+        if history.first_seen_at is None and busy_s > 0:
+            history.first_seen_at = self._clock()
 
-    def _record(self, service: ServiceName) -> _Record:
-        return self._by_service.setdefault(service, _Record())
+    def _history(self, service: ServiceName) -> _History:
+        return self._by_service.setdefault(service, _History())
 
-    def _step(self) -> None:
-        """Begin a new point for each step that is over."""
+    def _advance(self) -> None:
+        """Append an empty bucket for each bucket span that has ended."""
         now = self._clock()
-        steps = 0
-        while now >= self._step_ends_at and steps < KEPT_STEPS:
-            self._step_ends_at += STEP_S
-            steps += 1
-            for record in self._by_service.values():
-                record.points.append(0.0)
-        self._step_ends_at = max(self._step_ends_at, now)
+        added = 0
+        while now >= self._bucket_ends_at and added < HISTORY_BUCKETS:
+            self._bucket_ends_at += BUCKET_S
+            added += 1
+            for history in self._by_service.values():
+                history.buckets.append(0.0)
+        self._bucket_ends_at = max(self._bucket_ends_at, now)
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/demand_prior.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/demand_prior.py
@@ -1,33 +1,35 @@
-"""What demand to expect before any was seen.
+"""Estimates the offered load before any request was observed.
 
-A daemon that starts with the installation knows nothing of its callers but
-what operators granted them. Without a guess there are too few endpoints for
-the seconds in which more of them start, and requests are late or refused.
+When a whole site starts, the caps of the client accounts are all that a
+daemon knows about the load to come. Without an estimate there would be too
+few endpoints until further ones have started, and requests would be late or
+refused for those seconds.
 """
 
 from mimosamux_daemon.domain.names import ServiceName
 from mimosamux_daemon.domain.routes import GatewayConfiguration
 from mimosamux_daemon.gateway.engine_speed import DEFAULT_TOKENS_PER_S
 
-CAPS_USED = 0.5
-"""Part of all caps together that is expected to be used. On eight recorded
-days of two installations the first ten seconds used 0.39 to 0.66 of them."""
+CAP_UTILISATION = 0.5
+"""Expected use, as a share of the sum of all caps. On eight recorded days of
+two installations the first ten seconds used 0.39 to 0.66 of it."""
 
 
-def expect_busy(
+def estimate_offered_load(
     configuration: GatewayConfiguration, service: ServiceName
 ) -> float:
-    """Return how many endpoints of a service accounts likely keep busy.
+    """Return the load that accounts likely offer to a service, in endpoints.
 
-    Only caps in tokens tell anything; without any, nothing is expected.
+    The load divides evenly among the services that scale. Only caps in
+    tokens count; without any, the estimate is 0.
     """
     services = configuration.services_by_name
-    sharing = [name for name, each in services.items() if each.scaling]
-    if service not in sharing:
+    scaled = [name for name, each in services.items() if each.scaling]
+    if service not in scaled:
         return 0.0
     tokens_per_s = sum(
         account.cap.rate_per_s
         for account in configuration.accounts_by_id.values()
         if account.cap is not None and account.cap.is_in_tokens
     )
-    return CAPS_USED * tokens_per_s / DEFAULT_TOKENS_PER_S / len(sharing)
+    return CAP_UTILISATION * tokens_per_s / DEFAULT_TOKENS_PER_S / len(scaled)
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/rollout_duty.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/rollout_duty.py
@@ -191,7 +191,7 @@
         """
         new = len(self._new(rollout))
         others = len(self._others(rollout))
-        busy = self.demand.busy_most(rollout.order.service)
+        busy = self.demand.peak_offered_load(rollout.order.service)
         return new >= max(1, min(others, math.ceil(busy / BUSY_SHARE)))
 
     def _new(self, rollout: Rollout) -> list[EndpointRecord]:
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/scaling.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/scaling.py
@@ -1,4 +1,9 @@
-"""Orders endpoints, as the holder of the duty."""
+"""Scaling duty: orders endpoints from the platform.
+
+Only the daemon that holds the lease of the duties runs it. It compares the
+endpoints that serve with the counts of `scaling_plan` whenever the list of
+endpoints changes, at the latest every `TICK_S`, and orders the difference.
+"""
 
 import math
 from collections import Counter
@@ -13,15 +18,15 @@
 from mimosamux_daemon.domain.routes import GatewayConfiguration, ScalingBounds
 from mimosamux_daemon.domain.vms import Market
 from mimosamux_daemon.gateway.demand import Demand
-from mimosamux_daemon.gateway.demand_prior import expect_busy
+from mimosamux_daemon.gateway.demand_prior import estimate_offered_load
 from mimosamux_daemon.gateway.endpoint_record import EndpointRecord
 from mimosamux_daemon.gateway.metrics import GatewayMetrics
 from mimosamux_daemon.gateway.rollouts import Rollouts
 from mimosamux_daemon.gateway.roster import Roster
 from mimosamux_daemon.gateway.scaling_plan import (
+    Pool,
     ScalingPolicy,
-    Slot,
-    find_wanted,
+    clamp_total,
     plan_counts,
 )
 from mimosamux_daemon.logs import get_log
@@ -34,26 +39,30 @@
 log = get_log('scaling')
 
 TICK_S = 0.5
-DRY_S = 2.0
-"""Time until a place is tried again where there was nothing to be had."""
-TRY_S = 1.0
-"""Time between two such tries, whatever the place, until one has room again.
-With five places tried every 2 s each, 44 of 84 orders were refused in the
-first 25 s of a day."""
-REPEAT_S = 15.0
-"""Orders are repeated after this time: one that was given before, and
-carried out late, would otherwise stay in force."""
-LEARN_S = 15.0
-"""Time for which work has to come before there are fewer endpoints than
-were found, or than the caps of accounts lead to expect."""
-SETTLE_S = 6.0
-"""Time over the start of an endpoint after which an order that was taken
-and has no effect is given again."""
+"""Longest time between two comparisons with the plan."""
+CAPACITY_RETRY_S = 2.0
+"""Time until reclaimable endpoints of a service are ordered again in a data
+centre that had none available."""
+PROBE_INTERVAL_S = 1.0
+"""Shortest time between two such orders over all services and data centres;
+an order that is accepted lifts the limit. With five data centres retried
+every 2 s each, the platform refused 44 of 84 orders in the first 25 s of a
+day."""
+ORDER_REFRESH_S = 15.0
+"""Time after which an order is repeated. Without the repetition, an older
+order that the platform carries out late would stay in force."""
+WARM_UP_S = 15.0
+"""Time over which requests of a service must be observed before the demand
+alone decides. Until then the number of endpoints does not fall below those
+found at the start, nor below the estimate from the caps of accounts."""
+START_SLACK_S = 6.0
+"""Time beyond the boot time of an endpoint after which an accepted order
+that had no effect is repeated."""
 
 
 @dataclass(kw_only=True, slots=True)
-class _Given:
-    """An order that was given last for one slot."""
+class _AcceptedOrder:
+    """Last order for one pool that the platform accepted."""
 
     count: int
     at: float
@@ -61,7 +70,7 @@
 
 @dataclass(kw_only=True, slots=True)
 class Scaling:
-    """The duty of ordering endpoints, for as long as a lease is held."""
+    """Orders endpoints for as long as this daemon holds the lease."""
 
     calls: DutyCalls
     roster: Roster
@@ -70,29 +79,32 @@
     clock: Callable[[], float]
     metrics: GatewayMetrics
     lose_lease: Callable[[Lease], None]
+    """Called when a refusal shows that another daemon holds the lease."""
     rollouts: Rollouts
     first_start: bool = False
-    """Whether the whole site has started for the first time."""
+    """Whether the whole site starts for the first time."""
     policy: ScalingPolicy = field(default_factory=ScalingPolicy)
-    _given: dict[tuple[ServiceName, Slot], _Given] = field(
+    _accepted_orders: dict[tuple[ServiceName, Pool], _AcceptedOrder] = field(
         default_factory=dict
     )
-    _found: dict[ServiceName, int] = field(default_factory=dict)
-    """Most endpoints of one market that a service had, while learning."""
-    _shrunk: set[tuple[ServiceName, Slot]] = field(default_factory=set)
-    """Slots whose last order was for fewer endpoints."""
-    _dry: dict[tuple[ServiceName, DataCentreName], float] = field(
+    _initial_peaks: dict[ServiceName, int] = field(default_factory=dict)
+    """Highest number of endpoints of one market that served each service
+    during its warm-up."""
+    _scaled_down: set[tuple[ServiceName, Pool]] = field(default_factory=set)
+    """Pools whose last change of order was a reduction."""
+    _retry_at: dict[tuple[ServiceName, DataCentreName], float] = field(
         default_factory=dict
     )
-    """Places without reclaimable endpoints, and when to try them again.
-    They stay here until an order is taken: a place that counted as good
-    again before would have on-demand endpoints sent away in vain."""
+    """When to order again where no reclaimable endpoints are available.
+    An entry is removed only when an order is accepted: if the data centre
+    counted as available earlier, the plan would give up on-demand endpoints
+    that are still needed."""
 
-    _next_try: float = -math.inf
+    _next_probe_at: float = -math.inf
 
     async def run(self, lease: Lease) -> None:
-        """Order what is missing until cancelled."""
-        self._given.clear()
+        """Keep the orders in line with the plan until cancelled."""
+        self._accepted_orders.clear()
         while True:
             changed = self.roster.changed
             if lease.is_valid():
@@ -101,49 +113,54 @@
                 await changed.wait()
 
     def note_leaving(self, record: EndpointRecord) -> None:
-        """Take the last reclaimable endpoint of a place as a sign.
+        """Treat a data centre as unavailable if its last endpoint leaves.
 
-        All of a place are reclaimed together, and none is to be had there
-        for a while. One that leaves alone has crashed, or is replaced:
-        with its place given up for that, endpoints elsewhere would be
-        ordered and sent away again.
+        The platform reclaims all reclaimable endpoints of a data centre
+        together, and has none available there for a while. An endpoint
+        that leaves alone has crashed or is being replaced: treating its
+        data centre as unavailable would order endpoints elsewhere, only to
+        give them up again.
         """
         listed = record.listed
         if listed.market is not Market.RECLAIMABLE:
             return
-        if self._is_given_up(record):
+        if self._is_being_replaced(record):
             return
-        slot = Slot(data_centre=listed.data_centre, market=listed.market)
-        key = (listed.service, slot)
-        if key in self._shrunk:
+        pool = Pool(data_centre=listed.data_centre, market=listed.market)
+        key = (listed.service, pool)
+        if key in self._scaled_down:
             return
-        # What was ordered is gone with it, so it is to be given anew.
-        self._given.pop(key, None)
-        if self._count_held(listed.service).get(slot, 0) == 0:
-            place = (listed.service, listed.data_centre)
-            self._dry[place] = self.clock() + DRY_S
+        # The accepted order covered the endpoint that leaves, so the order
+        # must be placed again.
+        self._accepted_orders.pop(key, None)
+        if self._count_serving(listed.service).get(pool, 0) == 0:
+            location = (listed.service, listed.data_centre)
+            self._retry_at[location] = self.clock() + CAPACITY_RETRY_S
 
     def note_rollout(self, rollout: Rollout) -> None:
-        """Give every order anew once a service has one version again.
+        """Place the orders of a service again when its roll-out is over.
 
-        What was ordered of the other version is gone with it.
+        The endpoints of the replaced version that the earlier orders
+        covered are gone.
         """
         if rollout.stage.is_over:
-            for key in tuple(self._given):
+            for key in tuple(self._accepted_orders):
                 if key[0] == rollout.order.service:
-                    del self._given[key]
+                    del self._accepted_orders[key]
 
-    def _has_enough(self, service: ServiceName, bounds: ScalingBounds) -> bool:
-        """Whether the endpoints that requests may go to can carry them."""
+    def _has_enough_capacity(
+        self, service: ServiceName, bounds: ScalingBounds
+    ) -> bool:
+        """Whether the endpoints of proven versions can carry the peak load."""
         usable = self.rollouts.find_proven(
             service, self.roster.serving(service)
         )
-        busy = self.demand.busy_most(service)
-        share = self.policy.busy_share_reduced
-        return len(usable) >= find_wanted(bounds, busy / share)
+        load = self.demand.peak_offered_load(service)
+        utilisation = self.policy.degraded_utilisation
+        return len(usable) >= clamp_total(bounds, load / utilisation)
 
-    def _is_given_up(self, record: EndpointRecord) -> bool:
-        """Whether it leaves since another version takes over."""
+    def _is_being_replaced(self, record: EndpointRecord) -> bool:
+        """Whether a roll-out replaces the version of an endpoint."""
         rollout = self.rollouts.current(record.listed.service)
         return (
             rollout is not None
@@ -152,6 +169,7 @@
         )
 
     async def _order_all(self, lease: Lease) -> None:
+        """Place the orders that are due for every service that scales."""
         services = self.configuration().services_by_name
         for name, service in services.items():
             if service.scaling is not None:
@@ -160,123 +178,136 @@
     async def _order_service(
         self, service: ServiceName, bounds: ScalingBounds, lease: Lease
     ) -> None:
-        held = self._count_held(service)
-        await self._try_dry(service, bounds, held, lease)
+        serving = self._count_serving(service)
+        await self._probe_capacity(service, bounds, serving, lease)
         counts = plan_counts(
             bounds=bounds,
-            busy=self.demand.busy_most(service),
-            least=self._find_least(service, held),
-            dry=self._find_dry(service),
-            held=held,
-            given=self._find_given(service),
+            load=self.demand.peak_offered_load(service),
+            minimum=self._find_minimum(service, serving),
+            unavailable=self._find_unavailable(service),
+            serving=serving,
+            ordered=self._find_ordered(service),
             policy=self.policy,
-            has_callers=not self.first_start or self._has_callers(service),
-            lost=self._find_lost(service),
+            expects_requests=not self.first_start
+            or self._expects_requests(service),
+            lost_capacity=self._find_lost_capacity(service),
         )
         if self.rollouts.is_changing(service):
-            if self._has_enough(service, bounds):
+            if self._has_enough_capacity(service, bounds):
                 return
-            counts = _keep_all(counts, held, self._find_given(service))
-        for slot, count in counts.items():
-            if self._is_due(service, slot, count, held, bounds):
-                await self._give(service, slot, count, lease)
+            counts = _avoid_reductions(
+                counts, serving, self._find_ordered(service)
+            )
+        for pool, count in counts.items():
+            if self._is_due(service, pool, count, serving, bounds):
+                await self._place_order(service, pool, count, lease)
 
-    def _find_lost(self, service: ServiceName) -> float:
-        """Return how many endpoints the limits that they name take away.
+    def _find_lost_capacity(self, service: ServiceName) -> float:
+        """Return the capacity lost to rate limits of endpoints.
 
-        One that takes half of what an endpoint is planned for counts half.
+        The unit is endpoints: one whose limit admits half of the planned
+        load counts as half an endpoint lost.
         """
-        mean_s = self.demand.mean_s(service)
-        busy = [
-            record.share.limit_per_s * mean_s
+        mean_busy_s = self.demand.mean_busy_s(service)
+        loads = [
+            record.share.limit_per_s * mean_busy_s
             for record in self.roster.serving(service)
             if record.share is not None
         ]
-        planned = self.policy.busy_share
-        return sum(max(0.0, 1 - each / planned) for each in busy)
+        planned = self.policy.target_utilisation
+        return sum(max(0.0, 1 - each / planned) for each in loads)
 
-    def _has_callers(self, service: ServiceName) -> bool:
-        """Whether anybody asked for a service, or might soon be let down.
+    def _expects_requests(self, service: ServiceName) -> bool:
+        """Whether to keep capacity for requests of a service.
 
-        Before reclaimable endpoints are on order everywhere, the others may
-        be all that there will be.
+        True once a request was observed, and until reclaimable endpoints
+        are on order in every data centre: before that, the on-demand
+        endpoints may be all the capacity there will be.
         """
-        if self.demand.seen_s(service) > 0:
+        if self.demand.observed_s(service) > 0:
             return True
         ordered = {
-            slot.data_centre
-            for name, slot in self._given
-            if name == service and slot.market is Market.RECLAIMABLE
+            pool.data_centre
+            for name, pool in self._accepted_orders
+            if name == service and pool.market is Market.RECLAIMABLE
         }
         return not self.roster.data_centres(service) <= ordered
 
-    def _find_least(self, service: ServiceName, held: dict[Slot, int]) -> int:
-        """Return how many endpoints to keep whatever the demand is."""
-        if self.demand.seen_s(service) > LEARN_S:
+    def _find_minimum(
+        self, service: ServiceName, serving: dict[Pool, int]
+    ) -> int:
+        """Return the number of endpoints to keep regardless of demand.
+
+        It is 0 after the warm-up of the service.
+        """
+        if self.demand.observed_s(service) > WARM_UP_S:
             return 0
-        # While one market takes over from the other both are there, which
-        # is no sign that all of them are needed.
+        # Endpoints of both markets run side by side while one market
+        # replaces the other, so the peak is taken per market: their sum
+        # would overstate the need.
         by_market = Counter[Market]()
-        for slot, count in held.items():
-            by_market[slot.market] += count
-        most = max(self._found.get(service, 0), *by_market.values(), 0)
-        self._found[service] = most
-        expected = expect_busy(self.configuration(), service)
-        return max(most, math.ceil(expected / self.policy.busy_share))
-
-    async def _try_dry(
+        for pool, count in serving.items():
+            by_market[pool.market] += count
+        most = max(self._initial_peaks.get(service, 0), *by_market.values(), 0)
+        self._initial_peaks[service] = most
+        expected = estimate_offered_load(self.configuration(), service)
+        return max(most, math.ceil(expected / self.policy.target_utilisation))
+
+    async def _probe_capacity(
         self,
         service: ServiceName,
         bounds: ScalingBounds,
-        held: dict[Slot, int],
+        serving: dict[Pool, int],
         lease: Lease,
     ) -> None:
-        """Order one endpoint where there was none, if a try is due."""
+        """Order one more endpoint where a retry is due."""
         now = self.clock()
         due = [
-            place
-            for place, next_try in self._dry.items()
-            if place[0] == service and now >= next_try
+            location
+            for location, retry_at in self._retry_at.items()
+            if location[0] == service and now >= retry_at
         ]
-        if not due or now < self._next_try:
+        if not due or now < self._next_probe_at:
             return
-        place = min(due, key=lambda each: self._dry[each])
-        self._next_try = now + TRY_S
-        self._dry[place] = now + DRY_S
-        slot = Slot(data_centre=place[1], market=Market.RECLAIMABLE)
-        count = min(held.get(slot, 0) + 1, bounds.most)
-        await self._give(service, slot, count, lease)
-        if place not in self._dry:
-            self._next_try = now
+        location = min(due, key=lambda each: self._retry_at[each])
+        self._next_probe_at = now + PROBE_INTERVAL_S
+        self._retry_at[location] = now + CAPACITY_RETRY_S
+        pool = Pool(data_centre=location[1], market=Market.RECLAIMABLE)
+        count = min(serving.get(pool, 0) + 1, bounds.most)
+        await self._place_order(service, pool, count, lease)
+        if location not in self._retry_at:
+            self._next_probe_at = now
 
     def _is_due(
         self,
         service: ServiceName,
-        slot: Slot,
+        pool: Pool,
         count: int,
-        held: dict[Slot, int],
+        serving: dict[Pool, int],
         bounds: ScalingBounds,
     ) -> bool:
-        given = self._given.get((service, slot))
-        if given is None:
-            return count > 0 or held.get(slot, 0) > 0
-        if given.count != count:
+        """Whether to place the order for a pool: changed, failed or old."""
+        last = self._accepted_orders.get((service, pool))
+        if last is None:
+            return count > 0 or serving.get(pool, 0) > 0
+        if last.count != count:
             return True
-        passed_s = self.clock() - given.at
-        if held.get(slot, 0) != count:
-            return passed_s > bounds.boot_s + SETTLE_S
-        return passed_s > REPEAT_S and count > 0
+        passed_s = self.clock() - last.at
+        if serving.get(pool, 0) != count:
+            return passed_s > bounds.boot_s + START_SLACK_S
+        return passed_s > ORDER_REFRESH_S and count > 0
 
-    async def _give(
-        self, service: ServiceName, slot: Slot, count: int, lease: Lease
+    async def _place_order(
+        self, service: ServiceName, pool: Pool, count: int, lease: Lease
     ) -> None:
+        """Send one order, and record its outcome."""
         if not lease.is_valid():
             return
         outcome = await self.calls.order_endpoints(
             EndpointOrder(
                 service=service,
-                data_centre=slot.data_centre,
-                market=slot.market,
+                data_centre=pool.data_centre,
+                market=pool.market,
                 count=count,
             ),
             fencing=lease.fencing,
@@ -284,10 +315,10 @@
         log.info(
             'endpoints_ordered',
             service=service,
-            data_centre=slot.data_centre,
-            market=slot.market,
+            data_centre=pool.data_centre,
+            market=pool.market,
             count=count,
-            busy=round(self.demand.busy(service), 2),
+            busy=round(self.demand.offered_load(service), 2),
             fencing=lease.fencing,
             outcome=outcome.name.lower(),
         )
@@ -295,70 +326,81 @@
             {'duty': 'scaling', 'outcome': outcome.name.lower()}
         )
         if outcome is DutyOutcome.DONE:
-            self._note_given(service, slot, count)
+            self._note_accepted(service, pool, count)
         elif outcome is DutyOutcome.REFUSED:
-            self._note_refused(service, slot, lease)
+            self._note_refused(service, pool, lease)
 
-    def _note_given(
-        self, service: ServiceName, slot: Slot, count: int
+    def _note_accepted(
+        self, service: ServiceName, pool: Pool, count: int
     ) -> None:
-        key = (service, slot)
-        before = self._given.get(key)
+        key = (service, pool)
+        before = self._accepted_orders.get(key)
         if before is not None and before.count != count:
             is_less = before.count > count
-            (self._shrunk.add if is_less else self._shrunk.discard)(key)
-        self._given[key] = _Given(count=count, at=self.clock())
-        if slot.market is Market.RECLAIMABLE:
-            self._dry.pop((service, slot.data_centre), None)
+            (self._scaled_down.add if is_less else self._scaled_down.discard)(
+                key
+            )
+        self._accepted_orders[key] = _AcceptedOrder(
+            count=count, at=self.clock()
+        )
+        if pool.market is Market.RECLAIMABLE:
+            self._retry_at.pop((service, pool.data_centre), None)
 
     def _note_refused(
-        self, service: ServiceName, slot: Slot, lease: Lease
+        self, service: ServiceName, pool: Pool, lease: Lease
     ) -> None:
-        """Take a refusal: nothing is to be had, or there is a new holder.
+        """Handle a refusal: no capacity, or a newer holder of the lease.
 
-        The platform says both in the same way. On-demand endpoints can
-        always be had, so for them it is a new holder.
+        The platform reports both in the same way. On-demand endpoints are
+        always available, so a refusal for them means a newer holder.
         """
-        if slot.market is Market.RECLAIMABLE:
-            place = (service, slot.data_centre)
-            self._dry[place] = self.clock() + DRY_S
+        if pool.market is Market.RECLAIMABLE:
+            location = (service, pool.data_centre)
+            self._retry_at[location] = self.clock() + CAPACITY_RETRY_S
         else:
             self.lose_lease(lease)
 
-    def _find_given(self, service: ServiceName) -> dict[Slot, int]:
+    def _find_ordered(self, service: ServiceName) -> dict[Pool, int]:
+        """Return the counts of the accepted orders for a service."""
         return {
-            slot: given.count
-            for (name, slot), given in self._given.items()
+            pool: order.count
+            for (name, pool), order in self._accepted_orders.items()
             if name == service
         }
 
-    def _find_dry(self, service: ServiceName) -> frozenset[DataCentreName]:
+    def _find_unavailable(
+        self, service: ServiceName
+    ) -> frozenset[DataCentreName]:
+        """Return the data centres without reclaimable endpoints to order."""
         return frozenset(
-            place[1] for place in self._dry if place[0] == service
+            location[1]
+            for location in self._retry_at
+            if location[0] == service
         )
 
-    def _count_held(self, service: ServiceName) -> dict[Slot, int]:
-        held: dict[Slot, int] = {}
+    def _count_serving(self, service: ServiceName) -> dict[Pool, int]:
+        """Return the number of serving endpoints in each pool."""
+        serving: dict[Pool, int] = {}
         for record in self.roster.serving(service):
-            slot = Slot(
+            pool = Pool(
                 data_centre=record.listed.data_centre,
                 market=record.listed.market,
             )
-            held[slot] = held.get(slot, 0) + 1
-        return held
+            serving[pool] = serving.get(pool, 0) + 1
+        return serving
 
 
-def _keep_all(
-    counts: Mapping[Slot, int],
-    held: Mapping[Slot, int],
-    given: Mapping[Slot, int],
-) -> dict[Slot, int]:
-    """Return counts that take no endpoint away.
+def _avoid_reductions(
+    counts: Mapping[Pool, int],
+    serving: Mapping[Pool, int],
+    ordered: Mapping[Pool, int],
+) -> dict[Pool, int]:
+    """Return the counts, raised so that none removes an endpoint.
 
-    While a service has two versions the platform counts both together, and
-    an order for fewer would end those of the new one.
+    While a service runs two versions the platform counts them together, and
+    an order for fewer endpoints would end those of the new version.
     """
     return {
-        slot: max(count, held.get(slot, 0), given.get(slot, 0))
-        for slot, count in counts.items()
+        pool: max(count, serving.get(pool, 0), ordered.get(pool, 0))
+        for pool, count in counts.items()
     }
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/scaling_plan.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/scaling_plan.py
@@ -1,9 +1,9 @@
-"""How many endpoints of a service to have, where and of which market.
+"""Plans the endpoints of a service, by data centre and market.
 
-Reclaimable endpoints cost a fraction, and all of a data centre's can go at
-once, at times with none to be had anywhere for a while. The plan spreads
-them over the data centres, and fills up with on-demand endpoints only as
-far as the rest could not carry the work.
+Reclaimable endpoints cost a fraction of on-demand ones, but the platform can
+reclaim all of a data centre at once, and at times has none available in any
+data centre. The plan therefore spreads them over the data centres, and adds
+on-demand endpoints only where the reclaimable ones cannot carry the load.
 """
 
 import math
@@ -16,78 +16,85 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Slot:
-    """Endpoints of one market in one data centre."""
+class Pool:
+    """Endpoints of one service, of one market in one data centre."""
 
     data_centre: DataCentreName
     market: Market
 
 
-Counts = Mapping[Slot, int]
+PoolCounts = Mapping[Pool, int]
+"""Number of endpoints in each pool."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ScalingPolicy:
     """Constants of the plan; docs/DECISIONS.md has the sweeps."""
 
-    busy_share: float = 0.35
-    """Share of its time that an endpoint shall be busy. Above it, waits in
-    front of the prompts grow towards the latency targets."""
-    busy_share_reduced: float = 0.8
-    """The same while reclaimable endpoints cannot be had, of the demand in
-    the busiest two seconds of the last thirty. On-demand endpoints cost five
-    times as much; at 0.6 there were a fifth more of them, and as many
-    requests in time within the spread of single days."""
+    target_utilisation: float = 0.35
+    """Share of its time that an endpoint is planned to be busy. Above it,
+    queueing before the prefill grows towards the latency targets."""
+    degraded_utilisation: float = 0.8
+    """The same while reclaimable endpoints are unavailable, relative to the
+    load of the busiest two of the last thirty seconds. On-demand endpoints
+    cost five times as much; 0.6 took a fifth more of them, and the number of
+    requests in time stayed within the variation between single days."""
 
 
 def plan_counts(
     *,
     bounds: ScalingBounds,
-    busy: float,
-    least: int,
-    dry: frozenset[DataCentreName],
-    held: Counts,
-    given: Counts,
+    load: float,
+    minimum: int,
+    unavailable: frozenset[DataCentreName],
+    serving: PoolCounts,
+    ordered: PoolCounts,
     policy: ScalingPolicy,
-    has_callers: bool = True,
-    lost: float = 0.0,
-) -> dict[Slot, int]:
-    """Return the counts to order.
-
-    `busy` is the number of endpoints that the demand would keep busy all
-    the time, `least` how many there shall be at least; `dry` are the data
-    centres where no reclaimable endpoints can be had now, `held` the
-    endpoints that take work, and `given` the last orders; `lost` is how many
-    of those held their limits take away. Slots that are left out stay as
-    they are. Without callers, on-demand endpoints need not
-    stay until the others have started, but for one: of 136 endpoint-seconds
-    of a quiet day, 33 were paid before the first caller came.
+    expects_requests: bool = True,
+    lost_capacity: float = 0.0,
+) -> dict[Pool, int]:
+    """Return the counts to order; pools that are left out stay as they are.
+
+    `load`: number of endpoints that the demand would keep busy all the time.
+    `minimum`: number of endpoints to keep regardless of the load.
+    `unavailable`: data centres without reclaimable endpoints to order.
+    `serving`: endpoints that accept requests.
+    `ordered`: counts of the last accepted orders.
+    `expects_requests`: if false, only one on-demand endpoint is kept until
+    the reclaimable ones have started. Of 136 endpoint-seconds of a quiet day,
+    33 were paid before the first request came.
+    `lost_capacity`: number of serving endpoints, in fractions, by which rate
+    limits reduce the capacity.
     """
-    centres = sort_centres(bounds)
-    has_market = bounds.reclaimable_price is not None
-    wet = [each for each in centres if has_market and each not in dry]
-    wanted = find_wanted(bounds, max(busy / policy.busy_share, least) + lost)
-    on_demand = _find_on_demand(centres, given, held)
+    centres = sort_by_price(bounds)
+    has_reclaimable = bounds.reclaimable_price is not None
+    available = [
+        each for each in centres if has_reclaimable and each not in unavailable
+    ]
+    wanted = clamp_total(
+        bounds, max(load / policy.target_utilisation, minimum) + lost_capacity
+    )
+    on_demand = _find_on_demand(centres, ordered, serving)
     kept = {
-        centre: held.get(_slot(centre, Market.RECLAIMABLE), 0)
+        centre: serving.get(_pool(centre, Market.RECLAIMABLE), 0)
         for centre in centres
-        if centre not in wet
+        if centre not in available
     }
-    ordered = spread(
+    planned = distribute(
         wanted - sum(kept.values()),
-        {centre: bounds.most - on_demand[centre] for centre in wet},
-        least=bounds.least,
+        {centre: bounds.most - on_demand[centre] for centre in available},
+        minimum=bounds.least,
     )
-    reclaimable = kept | ordered
-    at_risk = _largest(held) if dry else 0
-    least_busy = busy / policy.busy_share_reduced
-    needed = find_wanted(bounds, least_busy + lost) + at_risk
+    reclaimable = kept | planned
+    at_risk = _largest_reclaimable(serving) if unavailable else 0
+    base = load / policy.degraded_utilisation
+    needed = clamp_total(bounds, base + lost_capacity) + at_risk
     counts = {
-        _slot(centre, Market.RECLAIMABLE): count
-        for centre, count in ordered.items()
+        _pool(centre, Market.RECLAIMABLE): count
+        for centre, count in planned.items()
     }
-    missing_now = needed - _count(held, Market.RECLAIMABLE)
-    if not has_callers:
+    missing_now = needed - _count_market(serving, Market.RECLAIMABLE)
+    if not expects_requests:
         missing_now = min(missing_now, 1)
     counts |= _plan_on_demand(
         room={
@@ -96,19 +103,19 @@
         },
         missing=needed - sum(reclaimable.values()),
         missing_now=missing_now,
-        there=on_demand,
+        existing=on_demand,
     )
     return counts
 
 
 def _find_on_demand(
-    centres: list[DataCentreName], given: Counts, held: Counts
+    centres: list[DataCentreName], ordered: PoolCounts, serving: PoolCounts
 ) -> dict[DataCentreName, int]:
-    """Return the on-demand endpoints ordered, or found, in each place."""
-    slots = {each: _slot(each, Market.ON_DEMAND) for each in centres}
+    """Return the on-demand endpoints ordered, or else serving, by centre."""
+    pools = {each: _pool(each, Market.ON_DEMAND) for each in centres}
     return {
-        centre: given.get(slot, held.get(slot, 0))
-        for centre, slot in slots.items()
+        centre: ordered.get(pool, serving.get(pool, 0))
+        for centre, pool in pools.items()
     }
 
 
@@ -117,22 +124,23 @@
     room: Mapping[DataCentreName, int],
     missing: int,
     missing_now: int,
-    there: Mapping[DataCentreName, int],
-) -> dict[Slot, int]:
-    """Return the on-demand endpoints of each data centre.
-
-    Those that are there stay until reclaimable ones have taken their
-    place (`missing_now`); new ones are ordered only for what will still
-    be missing when all that was ordered has started (`missing`).
-
-    Endpoints that still start count as there. Were they given up for a
-    cheaper data centre that has room of late, the work would wait for the
-    start of others: seen as seconds of refusals behind the second of two
-    losses.
+    existing: Mapping[DataCentreName, int],
+) -> dict[Pool, int]:
+    """Return the on-demand endpoints to order in each data centre.
+
+    The `existing` ones, ordered or serving, stay until reclaimable ones
+    serve in their place (`missing_now`). New ones are added only for what is
+    still missing when everything on order has started (`missing`), at most
+    `room` in each data centre.
+
+    Endpoints that are still starting count as existing. If they were given
+    up for a cheaper data centre that has room again, requests would wait
+    until its endpoints start: when two data centres failed one after the
+    other, this caused seconds of refusals after the second failure.
     """
     counts = {}
     kept = max(missing, missing_now, 0)
-    for centre, count in there.items():
+    for centre, count in existing.items():
         counts[centre] = min(count, kept)
         kept -= counts[centre]
     missing -= sum(counts.values())
@@ -141,29 +149,30 @@
         counts[centre] += added
         missing -= added
     return {
-        _slot(centre, Market.ON_DEMAND): count
+        _pool(centre, Market.ON_DEMAND): count
         for centre, count in counts.items()
     }
 
 
-def _count(counts: Counts, market: Market) -> int:
-    return sum(n for slot, n in counts.items() if slot.market is market)
+def _count_market(counts: PoolCounts, market: Market) -> int:
+    return sum(n for pool, n in counts.items() if pool.market is market)
 
 
-def _largest(held: Counts) -> int:
-    """Return the most reclaimable endpoints of one data centre.
+def _largest_reclaimable(serving: PoolCounts) -> int:
+    """Return the size of the largest reclaimable pool.
 
-    While none can be had, those of the next data centre may be taken away
-    as well before on-demand ones could start.
+    It is the reserve for the next loss: while reclaimable endpoints are
+    unavailable in one data centre, the platform may reclaim those of another
+    before on-demand ones can start.
     """
     counts = [
-        n for slot, n in held.items() if slot.market is Market.RECLAIMABLE
+        n for pool, n in serving.items() if pool.market is Market.RECLAIMABLE
     ]
     return max(counts, default=0)
 
 
-def find_wanted(bounds: ScalingBounds, endpoints: float) -> int:
-    """Return a number of endpoints within the bounds."""
+def clamp_total(bounds: ScalingBounds, endpoints: float) -> int:
+    """Return a total count, rounded up and limited to the bounds."""
     centres = len(bounds.price_by_data_centre)
     return min(
         max(math.ceil(endpoints), bounds.least * centres),
@@ -171,33 +180,36 @@
     )
 
 
-def spread(
-    wanted: int, room: Mapping[DataCentreName, int], *, least: int
+def distribute(
+    wanted: int, room: Mapping[DataCentreName, int], *, minimum: int
 ) -> dict[DataCentreName, int]:
-    """Return the share of each data centre: even, the first get more.
+    """Distribute endpoints evenly; earlier data centres get the remainder.
 
-    `room` is what fits there beside the endpoints of the other market: an
-    order beyond it would be cut to it, and the rest never start.
+    `room` is the number that fits in a data centre beside the endpoints of
+    the other market. The platform would cut a larger order to it, and the
+    rest would never start.
     """
-    share = {centre: max(min(least, most), 0) for centre, most in room.items()}
+    share = {
+        centre: max(min(minimum, most), 0) for centre, most in room.items()
+    }
     left = wanted - sum(share.values())
     while left > 0:
-        open_ = [
+        with_room = [
             centre for centre, most in room.items() if share[centre] < most
         ]
-        if not open_:
+        if not with_room:
             break
-        centre = min(open_, key=lambda each: share[each])
+        centre = min(with_room, key=lambda each: share[each])
         share[centre] += 1
         left -= 1
     return share
 
 
-def sort_centres(bounds: ScalingBounds) -> list[DataCentreName]:
-    """Return the data centres, the cheapest first."""
+def sort_by_price(bounds: ScalingBounds) -> list[DataCentreName]:
+    """Return the data centres by on-demand price, cheapest first."""
     prices = bounds.price_by_data_centre
     return sorted(prices, key=lambda centre: (prices[centre], centre))
 
 
-def _slot(centre: DataCentreName, market: Market) -> Slot:
-    return Slot(data_centre=centre, market=market)
+def _pool(centre: DataCentreName, market: Market) -> Pool:
+    return Pool(data_centre=centre, market=market)
--- a/tests/test_gateway_scaling_plan.py
+++ b/tests/test_gateway_scaling_plan.py
@@ -6,33 +6,33 @@
 from mimosamux_daemon.domain.routes import ScalingBounds
 from mimosamux_daemon.domain.vms import Market
 from mimosamux_daemon.gateway.scaling_plan import (
+    Pool,
     ScalingPolicy,
-    Slot,
     plan_counts,
 )
 
 NORTH, MIDDLE, SOUTH = map(DataCentreName, ('north', 'middle', 'south'))
 EVERYWHERE = frozenset({NORTH, MIDDLE, SOUTH})
-POLICY = ScalingPolicy(busy_share=0.5, busy_share_reduced=0.5)
+POLICY = ScalingPolicy(target_utilisation=0.5, degraded_utilisation=0.5)
 
 
 def reclaimable(centre):
-    return Slot(data_centre=centre, market=Market.RECLAIMABLE)
+    return Pool(data_centre=centre, market=Market.RECLAIMABLE)
 
 
 def on_demand(centre):
-    return Slot(data_centre=centre, market=Market.ON_DEMAND)
+    return Pool(data_centre=centre, market=Market.ON_DEMAND)
 
 
 def plan(
     *,
-    busy=0.0,
+    load=0.0,
     least=0,
-    dry=frozenset(),
-    held=None,
-    given=None,
-    has_callers=True,
-    lost=0.0,
+    unavailable=frozenset(),
+    serving=None,
+    ordered=None,
+    expects_requests=True,
+    lost_capacity=0.0,
 ):
     """Return the orders; north is the cheapest, south the dearest."""
     bounds = ScalingBounds(
@@ -44,32 +44,32 @@
     )
     return plan_counts(
         bounds=bounds,
-        busy=busy,
-        least=least,
-        dry=dry,
-        held=held or {},
-        given=given or {},
+        load=load,
+        minimum=least,
+        unavailable=unavailable,
+        serving=serving or {},
+        ordered=ordered or {},
         policy=POLICY,
-        has_callers=has_callers,
-        lost=lost,
+        expects_requests=expects_requests,
+        lost_capacity=lost_capacity,
     )
 
 
 def total(counts, market):
-    return sum(n for slot, n in counts.items() if slot.market is market)
+    return sum(n for pool, n in counts.items() if pool.market is market)
 
 
 class TestReclaimableEndpoints(unittest.TestCase):
     def test_are_spread_over_the_data_centres(self):
-        counts = plan(busy=4.0)
+        counts = plan(load=4.0)
         self.assertEqual(
             [counts[reclaimable(each)] for each in (NORTH, MIDDLE, SOUTH)],
             [3, 3, 2],
         )
 
     def test_make_up_for_those_that_limits_take_away(self):
-        before = plan(busy=2.0)
-        more = plan(busy=2.0, lost=1.6)
+        before = plan(load=2.0)
+        more = plan(load=2.0, lost_capacity=1.6)
         market = Market.RECLAIMABLE
         self.assertEqual(total(more, market) - total(before, market), 2)
 
@@ -80,13 +80,13 @@
         counts as given in full is not given again, and half of the
         endpoints are missing when callers come.
         """
-        held = {on_demand(each): 2 for each in EVERYWHERE}
-        counts = plan(least=12, held=held)
+        serving = {on_demand(each): 2 for each in EVERYWHERE}
+        counts = plan(least=12, serving=serving)
         self.assertEqual(
             {counts[reclaimable(each)] for each in EVERYWHERE}, {2}
         )
-        given = {on_demand(each): 0 for each in EVERYWHERE}
-        counts = plan(least=12, held=held, given=given)
+        ordered = {on_demand(each): 0 for each in EVERYWHERE}
+        counts = plan(least=12, serving=serving, ordered=ordered)
         self.assertEqual(
             {counts[reclaimable(each)] for each in EVERYWHERE}, {4}
         )
@@ -94,8 +94,8 @@
 
 class TestOnDemandEndpoints(unittest.TestCase):
     def test_stay_until_reclaimable_ones_serve(self):
-        held = {on_demand(each): 1 for each in EVERYWHERE}
-        counts = plan(least=3, held=held)
+        serving = {on_demand(each): 1 for each in EVERYWHERE}
+        counts = plan(least=3, serving=serving)
         self.assertEqual(total(counts, Market.ON_DEMAND), 3)
 
     def test_that_still_start_are_kept_when_a_cheaper_place_has_room(self):
@@ -107,23 +107,29 @@
         seconds in which others start.
         """
         counts = plan(
-            busy=2.0, dry=EVERYWHERE, held={}, given={on_demand(SOUTH): 4}
+            load=2.0,
+            unavailable=EVERYWHERE,
+            serving={},
+            ordered={on_demand(SOUTH): 4},
         )
         self.assertEqual(counts[on_demand(SOUTH)], 4)
         self.assertEqual(counts[on_demand(NORTH)], 0)
 
     def test_missing_ones_are_added_where_they_are_cheapest(self):
         counts = plan(
-            busy=3.0, dry=EVERYWHERE, held={}, given={on_demand(SOUTH): 4}
+            load=3.0,
+            unavailable=EVERYWHERE,
+            serving={},
+            ordered={on_demand(SOUTH): 4},
         )
         self.assertEqual(counts[on_demand(SOUTH)], 4)
         self.assertEqual(counts[on_demand(NORTH)], 2)
 
     def test_the_dearest_are_given_up_first(self):
         counts = plan(
-            busy=1.0,
-            dry=EVERYWHERE,
-            given={on_demand(SOUTH): 2, on_demand(NORTH): 2},
+            load=1.0,
+            unavailable=EVERYWHERE,
+            ordered={on_demand(SOUTH): 2, on_demand(NORTH): 2},
         )
         self.assertEqual(counts[on_demand(SOUTH)], 1)
         self.assertEqual(counts[on_demand(NORTH)], 2)
@@ -131,15 +137,17 @@
 
 class TestBeforeTheFirstCaller(unittest.TestCase):
     def setUp(self):
-        self.held = {on_demand(each): 2 for each in EVERYWHERE}
+        self.serving = {on_demand(each): 2 for each in EVERYWHERE}
 
-    def count(self, *, dry=frozenset(), **fields):
-        counts = plan(least=6, dry=dry, held=self.held, **fields)
+    def count(self, *, unavailable=frozenset(), **fields):
+        counts = plan(
+            least=6, unavailable=unavailable, serving=self.serving, **fields
+        )
         return total(counts, Market.ON_DEMAND)
 
     def test_on_demand_endpoints_are_given_up_but_for_one(self):
         """Cheaper ones are on order everywhere, and nobody waits yet."""
-        self.assertEqual(self.count(has_callers=False), 1)
+        self.assertEqual(self.count(expects_requests=False), 1)
 
     def test_those_that_are_needed_stay_while_somebody_may_wait(self):
         """One a data centre is needed, and no other has started yet."""
@@ -147,5 +155,7 @@
 
     def test_they_stay_where_no_others_are_to_be_had(self):
         """Given up, there would be none when the first callers come."""
-        count = self.count(has_callers=False, dry=EVERYWHERE, busy=3.0)
+        count = self.count(
+            expects_requests=False, unavailable=EVERYWHERE, load=3.0
+        )
         self.assertEqual(count, 6)
