--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/sends.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/attempts.py
@@ -1,4 +1,8 @@
-"""One send of a request to one endpoint, and what is noted of it."""
+"""Attempts to send a request to an endpoint, and the record of their results.
+
+The result of each attempt is passed on to the endpoint's load and health, to
+the crash and rollout statistics, to the metrics and to the log.
+"""
 
 import math
 from collections.abc import Callable, Iterator
@@ -24,30 +28,32 @@
 
 log = get_log('sends')
 
-SILENT_SHARE = 0.7
-"""Share of the latency target after which an endpoint that has not begun
-to answer may be left for another, where that is allowed: late enough that
-few well ones are, early enough for the other to be in time."""
-SILENT_FACTOR = 3.0
-"""The same as a multiple of the time that the answer was to take."""
+SILENCE_TARGET_SHARE = 0.7
+"""Share of the latency target after which a request may be sent elsewhere
+if its endpoint has not begun to answer: late enough to abandon few healthy
+endpoints, early enough for another endpoint to answer in time."""
+SILENCE_ESTIMATE_FACTOR = 3.0
+"""The same limit as a multiple of the estimated time to the first event; the
+later of the two limits applies."""
 
 
 @dataclass(kw_only=True, slots=True)
-class Send:
-    """A request under way at one endpoint."""
+class Attempt:
+    """One attempt to have an endpoint answer a request."""
 
     job: Job
     choice: Choice
     sent_at: float
-    could_have_run: bool
-    """Whether the job may have run before this send."""
-    silent_at: float
-    """When the endpoint counts as silent unless it has begun to answer."""
-    notes: 'SendNotes'
-    is_read: bool = False
-    """Whether the endpoint has read the prompt."""
-    is_answered: bool = False
-    first_s: float | None = None
+    may_have_run_before: bool
+    """Whether the job may have run before this attempt."""
+    silence_deadline: float
+    """When the endpoint counts as silent if no answer has begun."""
+    recorder: 'AttemptRecorder'
+    has_first_event: bool = False
+    """Whether the prompt is prefilled, as the first event shows."""
+    is_result_counted: bool = False
+    """Whether the result was counted for the endpoint's health."""
+    time_to_first_event_s: float | None = None
     """Time until the first event of a stream."""
 
     @property
@@ -56,7 +62,7 @@
         return self.choice.record.listed
 
     def call(self) -> EndpointCall:
-        """Return the call as it goes out."""
+        """Return the call to the endpoint for this attempt."""
         job, source = self.job, self.choice.fetch_from
         return EndpointCall(
             request=job.request,
@@ -73,50 +79,54 @@
     def _is_too_late(self) -> bool:
         """Whether the endpoint began to leave after it was chosen.
 
-        What goes on from a copy goes where the copy is, whoever leaves.
+        A moved stream continues at the holder of its copy even if that one
+        is leaving.
         """
         record = self.choice.record
         return self.job.move_target is None and not record.takes_work
 
-    def note_unawaited(self) -> None:
-        """Note that the caller left before a byte was sent."""
-        self._take_back()
+    def note_caller_gone(self) -> None:
+        """Record that the caller disconnected before a byte was sent."""
+        self._undo_count()
         self._count('unawaited')
         self._log('caller_left_unsent')
 
-    def note_unsent(self, reason: str) -> None:
-        """Note that no byte was sent."""
-        self._take_back()
+    def note_connect_failed(self, reason: str) -> None:
+        """Record that the connection failed and no byte was sent."""
+        self._undo_count()
         self._count('unsent')
         record = self.choice.record
-        self.notes.roster.note_connect(record, failed=True)
+        self.recorder.roster.note_connect(record, failed=True)
         self._log('connect_failed', reason=reason)
 
-    def _take_back(self) -> None:
+    def _undo_count(self) -> None:
+        """Undo the job's count of an attempt that was not sent."""
         self.job.sends -= 1
-        self.job.may_have_run = self.could_have_run
+        self.job.may_have_run = self.may_have_run_before
 
     def note_connected(self) -> None:
-        """Note that the endpoint was reached."""
-        self.notes.roster.note_connect(self.choice.record, failed=False)
+        """Record a successful connection to the endpoint."""
+        self.recorder.roster.note_connect(self.choice.record, failed=False)
 
-    def note_head(self, answer: EndpointAnswer | TurnedDown) -> None:
-        """Note what the start of an answer says of its endpoint.
+    def note_response_head(self, answer: EndpointAnswer | TurnedDown) -> None:
+        """Update the endpoint's state from the head of a response.
 
-        The list may tell later, or not at all while it cannot be written.
+        The endpoint list may report the same later, or not at all while the
+        platform's store cannot be written.
         """
         record = self.choice.record
-        roster = self.notes.roster
+        roster = self.recorder.roster
         if not (isinstance(answer, TurnedDown) and answer.is_other_endpoint):
-            self.notes.crashes.note_answer(record)
+            self.recorder.crashes.note_answer(record)
         if not isinstance(answer, TurnedDown):
             roster.note_taken(record, self.sent_at)
         elif answer.is_full and not self.job.is_resumed:
-            # What goes on from a copy is turned down where the copy is gone.
+            # A full endpoint also rejects a resumed stream whose copy it has
+            # lost; that says nothing about its load.
             roster.note_refusal(record, self.sent_at)
         if answer.retry_after_s is not None:
             roster.note_rest(record, answer.retry_after_s)
-        self.notes.limits.note_answer(
+        self.recorder.limits.note_answer(
             record,
             answer.limit_per_s,
             sent_at=self.sent_at,
@@ -131,83 +141,91 @@
                 incarnation=record.incarnation,
             )
 
-    def note_unrun(self, answer: TurnedDown) -> None:
-        """Note that the endpoint says that it has not run the request."""
-        self.job.may_have_run = self.could_have_run
+    def note_turned_down(self, answer: TurnedDown) -> None:
+        """Record that the endpoint rejected the request without running it."""
+        self.job.may_have_run = self.may_have_run_before
         self._count('turned_down')
         self._log('turned_down', status=answer.status)
         if answer.is_full and not self.job.is_resumed:
-            self._note_trial(failed=True)
+            self._count_trial_result(failed=True)
         if answer.is_other_endpoint:
-            self.notes.roster.note_replaced(self.choice.record)
+            self.recorder.roster.note_replaced(self.choice.record)
 
     def note_broken(self, reason: str) -> None:
-        """Note that no whole answer came."""
+        """Record that no complete answer was received."""
         self.note_begun()
-        self.note_answer(failed=True)
+        self.note_result(failed=True)
         self._log('call_broken', reason=reason)
-        self.notes.crashes.note_broken(self.job.content, self.choice.record)
+        self.recorder.crashes.note_broken(self.job.content, self.choice.record)
 
     def note_silent(self) -> None:
-        """Note that the endpoint is left for its silence."""
-        self.note_answer(failed=True)
+        """Record that the endpoint is abandoned because it did not answer."""
+        self.note_result(failed=True)
         self._log('endpoint_silent')
 
-    def note_answer(self, *, failed: bool) -> None:
-        """Count an answer for the endpoint's health, once for each send."""
-        if not self.is_answered:
-            self.is_answered = True
+    def note_result(self, *, failed: bool) -> None:
+        """Count a result for the endpoint's health, once for each attempt."""
+        if not self.is_result_counted:
+            self.is_result_counted = True
             self._count('failed' if failed else 'answered')
-            now = self.notes.clock()
+            now = self.recorder.clock()
             self.choice.record.health.note(now, failed=failed)
-            self._note_trial(failed=failed)
+            self._count_trial_result(failed=failed)
 
     def note_begun(self) -> None:
-        """Count the request as begun, once however often it is sent."""
+        """Count the request as begun, once whatever its number of attempts."""
         job = self.job
         if not job.has_begun and job.account is not None:
             job.has_begun = True
-            self.notes.begun.note(job.account.id)
+            self.recorder.begun.note(job.account.id)
 
     def note_first_event(self) -> None:
-        """Note that the prompt was read and the answer has begun."""
-        self.silent_at = math.inf
+        """Record the first event of a stream: the prompt is prefilled.
+
+        The time to it is a sample for the engine speed if no other prompt
+        was queued at the endpoint.
+        """
+        self.silence_deadline = math.inf
         self.note_begun()
-        self.is_read = True
+        self.has_first_event = True
         choice, prompt = self.choice, self.job.request.prompt
-        took_s = self.first_s = self.notes.clock() - self.sent_at
-        self.notes.metrics.first_event_s.observe(
+        took_s = self.time_to_first_event_s = (
+            self.recorder.clock() - self.sent_at
+        )
+        self.recorder.metrics.first_event_s.observe(
             {'service': self.job.service.name}, took_s
         )
         choice.record.load.note_read(choice.unread_tokens)
         if prompt is None:
             return
-        chooser = self.notes.chooser
+        chooser = self.recorder.chooser
         record = choice.record
         chooser.parts.note_read(record.id, prompt, record.incarnation)
         if choice.ahead_tokens < 1:
             speed = chooser.speed_of(self.job.service.name)
             speed.note(choice.unread_tokens, took_s)
 
-    def _note_trial(self, *, failed: bool) -> None:
-        """Count the end for a version that is under trial, if one is."""
+    def _count_trial_result(self, *, failed: bool) -> None:
+        """Count the result for a software version that is on trial."""
         job = self.job
-        now = self.notes.clock()
-        took_s = self.first_s if job.is_stream else now - self.sent_at
-        self.notes.trials.note_end(
+        now = self.recorder.clock()
+        took_s = (
+            self.time_to_first_event_s if job.is_stream else now - self.sent_at
+        )
+        self.recorder.trials.note_end(
             job.service.name,
             job.route.name,
             self.endpoint.id,
             self.endpoint.software,
             failed=failed,
-            # Each start is slow for a while, whatever its version.
+            # Every endpoint is slow after its start, whatever its version.
             took_s=None if self.choice.record.is_cold(now) else took_s,
             expected_s=self.choice.first_event_s,
         )
 
     def _count(self, result: str) -> None:
         labels = {'service': self.job.service.name, 'result': result}
-        self.notes.metrics.sends.inc(labels)
+        self.recorder.metrics.sends.inc(labels)
 
     def _log(self, event: str, **fields: object) -> None:
         log.info(
@@ -216,14 +234,14 @@
             content=self.job.content,
             endpoint=self.endpoint.id,
             sends=self.job.sends,
-            took_s=round(self.notes.clock() - self.sent_at, 3),
+            took_s=round(self.recorder.clock() - self.sent_at, 3),
             **fields,
         )
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class SendNotes:
-    """Where sends are counted."""
+class AttemptRecorder:
+    """Opens attempts, and passes their results to all who count them."""
 
     roster: Roster
     chooser: Chooser
@@ -232,35 +250,35 @@
     limits: EndpointLimits
     trials: TrialTallies
     metrics: GatewayMetrics
-    news_age_s: Callable[[], float]
-    """Age of the oldest digest that the choice rested on."""
+    digest_age_s: Callable[[], float]
+    """Age of the oldest peer digest that a choice of endpoint relies on."""
     list_age_s: Callable[[], float]
-    """Age of the list of endpoints that it rested on."""
+    """Age of the endpoint list that the choice relies on."""
     clock: Callable[[], float]
 
     @contextmanager
-    def open(self, job: Job, choice: Choice) -> Iterator[Send]:
-        """Count a send as under way until the block ends.
+    def open(self, job: Job, choice: Choice) -> Iterator[Attempt]:
+        """Count an attempt as in flight until the block ends.
 
-        It counts before any byte of it leaves: the time limit can strike
-        while it is under way. Counted only afterwards, a request that runs
-        would be called not run.
+        It counts before any byte is sent, because the deadline can pass
+        while the request is being sent. If it counted only afterwards, a
+        request that runs would be reported as not run.
         """
         now = self.clock()
         limit_s = max(
-            SILENT_SHARE * job.route.target_s,
-            SILENT_FACTOR * choice.first_event_s,
+            SILENCE_TARGET_SHARE * job.route.target_s,
+            SILENCE_ESTIMATE_FACTOR * choice.first_event_s,
         )
         self._log_sent(job, choice)
-        send = Send(
+        attempt = Attempt(
             job=job,
             choice=choice,
             sent_at=now,
-            could_have_run=job.may_have_run,
-            silent_at=now + limit_s,
-            notes=self,
+            may_have_run_before=job.may_have_run,
+            silence_deadline=now + limit_s,
+            recorder=self,
         )
-        self.trials.note_send(job.service.name, send.endpoint.software)
+        self.trials.note_send(job.service.name, attempt.endpoint.software)
         job.tried.add(choice.record.id)
         job.sends += 1
         job.may_have_run = True
@@ -272,9 +290,9 @@
         load, unread = choice.record.load, choice.unread_tokens
         load.begin(unread)
         try:
-            yield send
+            yield attempt
         finally:
-            load.end(0.0 if send.is_read else unread)
+            load.end(0.0 if attempt.has_first_event else unread)
 
     def _log_sent(self, job: Job, choice: Choice) -> None:
         record = choice.record
@@ -292,7 +310,7 @@
             ahead_tokens=int(choice.ahead_tokens),
             fetch_from=choice.fetch_from and choice.fetch_from.id,
             under_way=record.load.total(self.clock()).requests,
-            news_age_s=round(self.news_age_s(), 2),
+            news_age_s=round(self.digest_age_s(), 2),
             list_age_s=round(self.list_age_s(), 2),
             left_s=round(job.left_s(self.clock()), 2),
             goes_on_behind=job.last_event_id,
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/choice.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/choice.py
@@ -1,4 +1,10 @@
-"""Which endpoint a request is sent to."""
+"""Chooses the endpoint that a request is sent to.
+
+For a model engine the choice weighs prefix cache affinity against the queue:
+a prompt goes to its home, the endpoint that rendezvous hashing assigns to its
+shared prefix, unless the estimated time to the first event there is too long.
+For a plain service it is the least loaded endpoint.
+"""
 
 import random
 from collections.abc import Callable, Collection, Sequence
@@ -20,42 +26,42 @@
 from mimosamux_daemon.gateway.rollouts import Rollouts
 from mimosamux_daemon.gateway.roster import Roster
 
-HOME_SHARE = 0.4
-"""Share of the latency target up to which a request goes to the endpoint
-that keeps its prompt's shared parts, however idle others are."""
-FAR_REQUESTS = 0.5
-"""Requests under way that the way to another data centre counts for."""
-OWN_READ_S = 0.1
-"""Time of reading its own prompt that counts as part of a request's wait."""
-OUTPUT_SHARE = 0.5
-"""Part of the longest answer that is taken for the likely one, where the
-caller gives no estimate."""
-OUTPUT_TOKEN_S = 0.0001
-"""Time that one token of an answer adds to the work of an engine which
-makes many at once."""
-SPREAD_CHOICES = 2
-"""Endpoints drawn at random, of which the usual order takes one."""
-LEAST_FETCHED = 256
-"""Tokens from which on they are copied from another engine's cache. A copy
-takes 2 ms to begin, in which an engine computes about as many."""
+HOME_TARGET_SHARE = 0.4
+"""Share of the latency target up to which a request may wait at the home of
+its shared prefix, even if other endpoints are idle."""
+REMOTE_PENALTY_REQUESTS = 0.5
+"""In-flight requests that the distance to another data centre counts as."""
+OWN_PREFILL_S = 0.1
+"""Prefill time of a request's own prompt that counts as part of its wait."""
+OUTPUT_ESTIMATE_SHARE = 0.5
+"""Estimated length of an answer as a share of the longest one allowed, where
+the caller gives no estimate."""
+ENGINE_S_PER_OUTPUT_TOKEN = 0.0001
+"""Engine time per output token; it is short because an engine decodes many
+requests in one batch."""
+SPREAD_SAMPLE_SIZE = 2
+"""Endpoints drawn at random for a spread request, before the usual choice."""
+MIN_FETCH_TOKENS = 256
+"""Least number of tokens worth copying from another engine's KV cache. A copy
+takes 2 ms to start, in which an engine computes about as many tokens."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Choice:
-    """An endpoint, and what the request brings it."""
+    """A chosen endpoint, with the estimated work and delay of the request."""
 
     record: EndpointRecord
     unread_tokens: float = 0.0
-    """Prompt tokens that it likely has to read."""
+    """Estimated prompt tokens to prefill: those not in the KV cache."""
     first_event_s: float = 0.0
-    """Likely time until the answer begins."""
+    """Estimated time to the first event of the answer."""
     alone_s: float = 0.0
-    """Part of it that the request's own prompt takes beyond the usual, so
-    that waiting cannot be its cause."""
+    """Part of that time which the request's own prefill takes beyond
+    `OWN_PREFILL_S`, and which is therefore not due to queueing."""
     ahead_tokens: float = 0.0
-    """Tokens of other prompts that wait there to be read."""
+    """Tokens of other prompts that are queued there for prefill."""
     fetch_from: EndpointRecord | None = None
-    """Endpoint from whose cache it had better copy shared parts."""
+    """Endpoint from whose KV cache the shared prefix is to be copied."""
 
 
 class Chooser:
@@ -80,7 +86,7 @@
         self._speed_by_service: dict[ServiceName, EngineSpeed] = {}
 
     def speed_of(self, service: ServiceName) -> EngineSpeed:
-        """Return what is known of the engines of a service."""
+        """Return the speed estimate for the engines of a service."""
         return self._speed_by_service.setdefault(service, EngineSpeed())
 
     def choose(
@@ -94,10 +100,12 @@
         excluding: Collection[EndpointId] = (),
         is_spread: bool = False,
     ) -> Choice | None:
-        """Return the endpoint for one send, None if none takes work.
+        """Return the endpoint for one attempt, None if none takes requests.
 
-        What was at an endpoint that crashed `is_spread`: sent on together by
-        their common prompts, neighbours would meet the cause again.
+        With `is_spread` the choice is limited to a random sample. This is
+        for requests that were at an endpoint which crashed: prefix affinity
+        would send all of them to the same next endpoint, together with the
+        request that caused the crash.
         """
         now = self._clock()
         records = self.find_open(
@@ -106,13 +114,13 @@
             trial_weight=trial_weight,
             excluding=excluding,
         )
-        records = _leave_out_doubtful(records, now)
+        records = _exclude_unhealthy(records, now)
         if not records:
             return None
         if service.engine is not None and prompt is not None:
             if is_spread:
                 records = self._rng.sample(
-                    records, min(SPREAD_CHOICES, len(records))
+                    records, min(SPREAD_SAMPLE_SIZE, len(records))
                 )
             return self._choose_engine(records, service, route, prompt, now)
         return Choice(record=self._choose_plain(records, now))
@@ -127,8 +135,8 @@
     ) -> list[EndpointRecord]:
         """Return the endpoints that a request may be sent to.
 
-        What was sent before goes to versions that are known to be good: a
-        bad one must not fail the same request twice.
+        A repeated request goes only to software versions that have passed
+        their trial: a faulty version must not fail it twice.
         """
         records = [
             record
@@ -144,12 +152,12 @@
         )
 
     def busy_s(self, service: ServiceName, prompt: PromptUse) -> float:
-        """Return how long a request keeps one engine busy."""
+        """Return the estimated engine time of a request."""
         out = prompt.likely_tokens_out
         if out is None:
-            out = int(prompt.most_tokens_out * OUTPUT_SHARE)
+            out = int(prompt.most_tokens_out * OUTPUT_ESTIMATE_SHARE)
         read_s = self.speed_of(service).read_s(prompt.own_tokens)
-        return read_s + out * OUTPUT_TOKEN_S
+        return read_s + out * ENGINE_S_PER_OUTPUT_TOKEN
 
     def _choose_engine(
         self,
@@ -159,15 +167,22 @@
         prompt: PromptUse,
         now: float,
     ) -> Choice:
+        """Return the first endpoint in hash order that is fast enough.
+
+        The limit is `HOME_TARGET_SHARE` of the latency target, or the least
+        estimate if no endpoint is within that.
+        """
         holder = self._find_holder(service, prompt)
         choices = [
             self._estimate(record, service, prompt, holder, now)
             for record in records
         ]
         key = prompt.shared_key
-        choices.sort(key=lambda choice: _rank(choice.record.id, key))
+        choices.sort(
+            key=lambda choice: _rendezvous_hash(choice.record.id, key)
+        )
         least = min(choice.first_event_s for choice in choices)
-        limit = max(HOME_SHARE * route.target_s, least)
+        limit = max(HOME_TARGET_SHARE * route.target_s, least)
         return next(
             choice for choice in choices if choice.first_event_s <= limit
         )
@@ -175,14 +190,15 @@
     def _find_holder(
         self, service: ServiceEntry, prompt: PromptUse
     ) -> EndpointRecord | None:
-        """Return an endpoint that holds most of a prompt's shared parts.
+        """Return the endpoint that caches most of a prompt's shared prefix.
 
-        It may be leaving: until it is gone its cache can be copied, which
-        saves computing all of it again elsewhere. From one that cannot be
-        reached nothing comes, and the request would wait for it in vain.
+        It may be leaving: its KV cache can be copied until it is gone, which
+        saves computing the prefix again elsewhere. An endpoint that cannot
+        be connected to is left out, as the request would wait for its copy
+        in vain.
         """
         now = self._clock()
-        most, holder = LEAST_FETCHED - 1, None
+        most, holder = MIN_FETCH_TOKENS - 1, None
         for record in self._roster.of_service(service.name):
             is_over = record.leaves_at is not None and record.leaves_at < now
             if is_over or record.is_avoided(now):
@@ -200,24 +216,25 @@
         holder: EndpointRecord | None,
         now: float,
     ) -> Choice:
+        """Estimate the prefill work and the delay at one endpoint."""
         speed = self.speed_of(service.name)
         use = record.load.total(now)
         cached = self.parts.cached_tokens(record.id, prompt)
         source = None
         if holder is not None and holder is not record:
             held = self.parts.cached_tokens(holder.id, prompt)
-            if held - cached >= LEAST_FETCHED:
+            if held - cached >= MIN_FETCH_TOKENS:
                 source, cached = holder, held
         unread = max(prompt.tokens_in - cached, 1.0)
         first_s = speed.first_s + speed.read_s(use.unread_tokens + unread)
         if use.requests >= record.listed.slots:
-            # Without a free slot it waits for a whole answer to end.
+            # Without a free slot the request waits until an answer ends.
             first_s += 1.0 + use.requests / record.listed.slots
         return Choice(
             record=record,
             unread_tokens=unread,
             first_event_s=first_s,
-            alone_s=max(0.0, speed.read_s(unread) - OWN_READ_S),
+            alone_s=max(0.0, speed.read_s(unread) - OWN_PREFILL_S),
             ahead_tokens=use.unread_tokens,
             fetch_from=source,
         )
@@ -225,35 +242,43 @@
     def _choose_plain(
         self, records: Sequence[EndpointRecord], now: float
     ) -> EndpointRecord:
+        """Return the endpoint with the least load per slot."""
+
         def cost(record: EndpointRecord) -> float:
             use = record.load.total(now)
             is_far = record.listed.data_centre != self._data_centre
-            far = FAR_REQUESTS if is_far else 0.0
+            far = REMOTE_PENALTY_REQUESTS if is_far else 0.0
             return (use.requests + far) / record.listed.slots
 
         shuffled = self._rng.sample(list(records), len(records))
         return min(shuffled, key=cost)
 
 
-def _leave_out_doubtful(
+def _exclude_unhealthy(
     records: list[EndpointRecord], now: float
 ) -> list[EndpointRecord]:
-    """Return the endpoints that answer well; all, if none does."""
-    reached = [each for each in records if not each.is_passed_over(now)]
-    reached = reached or records
+    """Return the healthy endpoints, or all of them if none is healthy.
+
+    An endpoint is left out if connections to it fail, if it has just turned
+    requests down, or if its failure share exceeds the best one by `EXCESS`.
+    """
+    available = [each for each in records if not each.is_passed_over(now)]
+    available = available or records
     share_by_id = {
-        record.id: record.health.failed_share(now) for record in reached
+        record.id: record.health.failed_share(now) for record in available
     }
     known = [share for share in share_by_id.values() if share is not None]
     if not known:
-        return reached
+        return available
     limit = min(known) + EXCESS
-    well = [
-        record for record in reached if (share_by_id[record.id] or 0.0) < limit
+    healthy = [
+        record
+        for record in available
+        if (share_by_id[record.id] or 0.0) < limit
     ]
-    return well or reached
+    return healthy or available
 
 
-def _rank(endpoint: EndpointId, key: str) -> int:
-    """Return the place of an endpoint for a key, the same at each daemon."""
+def _rendezvous_hash(endpoint: EndpointId, key: str) -> int:
+    """Return the rendezvous hash of an endpoint, the same at each daemon."""
     return xxhash.xxh3_64_intdigest(f'{endpoint} {key}'.encode())
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/forwarding.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/forwarding.py
@@ -1,4 +1,10 @@
-"""Passes a request on to endpoints until it has its answer."""
+"""Forwards a request to endpoints, with retries, until it is answered.
+
+Each request passes admission, the check for contents that crashed endpoints,
+the choice of an endpoint and the overload check before it is sent. A failed
+attempt is repeated at another endpoint only where the route allows it, or
+where the endpoint states that it has not run the request.
+"""
 
 from collections.abc import Callable
 from dataclasses import dataclass, replace
@@ -16,6 +22,7 @@
 from mimosamux_daemon.domain.outcomes import Reason, Refused
 from mimosamux_daemon.domain.routes import RouteKind
 from mimosamux_daemon.gateway.admission import Admission
+from mimosamux_daemon.gateway.attempts import Attempt, AttemptRecorder
 from mimosamux_daemon.gateway.choice import Choice, Chooser
 from mimosamux_daemon.gateway.crash_holds import CrashHolds
 from mimosamux_daemon.gateway.demand import Demand
@@ -36,7 +43,6 @@
 from mimosamux_daemon.gateway.retry_budget import RetryBudget
 from mimosamux_daemon.gateway.roster import Roster
 from mimosamux_daemon.gateway.running_stream import RunningStream
-from mimosamux_daemon.gateway.sends import Send, SendNotes
 from mimosamux_daemon.ports.callers import AnswerSink, Caller
 from mimosamux_daemon.ports.endpoint_calls import (
     CallBroken,
@@ -48,22 +54,24 @@
     TurnedDown,
 )
 
-CONNECTS = 4
-"""Endpoints that cannot be connected to before a request is given up."""
-SOON_S = 0.1
-"""When to come again after a cause that passes quickly."""
+MAX_FAILED_CONNECTS = 4
+"""Failed connection attempts after which a request is given up."""
+TRANSIENT_RETRY_S = 0.1
+"""Retry-after time for transient causes."""
 NO_ENDPOINT_RETRY_S = 0.5
-RESTARTED = CallBroken(reason='the endpoint has started anew since')
+"""Retry-after time when no endpoint takes the request."""
+ENDPOINT_RESTARTED = CallBroken(reason='the endpoint has started anew since')
+"""Result of a call whose endpoint was restarted while it was in flight."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class GoOn:
-    """The request goes on at another endpoint."""
+class ContinueElsewhere:
+    """The request continues at another endpoint."""
 
 
 @dataclass(kw_only=True, slots=True)
 class Forwarder:
-    """Forwards requests, one call each."""
+    """Forwards requests; `forward` is called once for each."""
 
     admission: Admission
     roster: Roster
@@ -71,7 +79,7 @@
     list_age: ListAge
     calls: EndpointCalls
     budget: RetryBudget
-    notes: SendNotes
+    recorder: AttemptRecorder
     demand: Demand
     overload: Overload
     evacuation: Evacuation
@@ -83,15 +91,18 @@
     async def forward(
         self, request: GatewayRequest, caller: Caller, sink: AnswerSink
     ) -> GatewayOutcome:
-        """Have a request answered; the outcome tells if it was not."""
-        waited_s = self.lag.waited_s()
-        if waited_s:
-            request = replace(
-                request, received_at=request.received_at - waited_s
-            )
+        """Forward a request and return its outcome.
+
+        The time that the event loop lagged before it read the request counts
+        against the request's deadline.
+        """
+        lag_s = self.lag.waited_s()
+        if lag_s:
+            request = replace(request, received_at=request.received_at - lag_s)
         with anyio.CancelScope() as waiting:
-            # A caller that leaves while a cap is waited for is not let in
-            # afterwards: what may not be repeated would run for nobody.
+            # A caller that disconnects while its request waits for a usage
+            # cap is not admitted afterwards: a request that may not be
+            # repeated would run with nobody to receive its answer.
             caller.cancel_when_gone(waiting)
             job = await self.admission.admit(request, sink)
         if waiting.cancelled_caught:
@@ -101,7 +112,7 @@
             self.outcomes.note_refusal(request, job)
             return job
         job.caller = caller
-        outcome = await self._run_unless_held(job, caller, waited_s)
+        outcome = await self._run_unless_held(job, caller, lag_s)
         if isinstance(outcome, Delivered) and not job.is_resumed:
             self.holds.note_whole(job.content)
         if isinstance(outcome, Refused) or not job.may_have_run:
@@ -110,22 +121,27 @@
         return outcome
 
     async def _run_unless_held(
-        self, job: Job, caller: Caller, waited_s: float
+        self, job: Job, caller: Caller, lag_s: float
     ) -> GatewayOutcome:
+        """Run a job unless its content is held for crashing endpoints."""
         held = self.holds.find_refusal(job.content)
         if held is not None:
             return held
         self._note_demand(job)
-        return await self._run_in_time(job, caller, waited_s)
+        return await self._run_until_deadline(job, caller, lag_s)
 
-    async def _run_in_time(
-        self, job: Job, caller: Caller, waited_s: float
+    async def _run_until_deadline(
+        self, job: Job, caller: Caller, lag_s: float
     ) -> GatewayOutcome:
+        """Run a job until its deadline, or until its caller disconnects.
+
+        A non-idempotent request runs on after its caller has disconnected.
+        """
         if job.left_s(self.clock()) <= 0:
             return job.give_up(
                 Reason.DEADLINE,
-                f'it waited {waited_s:.1f} s here to be read',
-                retry_after_s=SOON_S,
+                f'it waited {lag_s:.1f} s here to be read',
+                retry_after_s=TRANSIENT_RETRY_S,
             )
         outcome: GatewayOutcome = CallerGone()
         with anyio.move_on_after(job.left_s(self.clock())) as timer:
@@ -134,10 +150,11 @@
                     caller.cancel_when_gone(scope)
                 outcome = await self._run(job)
         if timer.cancelled_caught:
-            outcome = self._end_late(job)
+            outcome = self._end_at_deadline(job)
         return outcome
 
     def _note_demand(self, job: Job) -> None:
+        """Count the request for the retry budget and the demand estimate."""
         self.budget.note_request(job.service.name)
         prompt = job.request.prompt
         if prompt is not None:
@@ -145,21 +162,22 @@
             self.demand.note(job.service.name, busy_s)
 
     async def _run(self, job: Job) -> GatewayOutcome:
-        unsent = 0
+        """Send a job to one endpoint after another until one settles it."""
+        failed_connects = 0
         while True:
             await self.list_age.wait_until_new()
             choice = self._choose(job)
-            if choice is None or unsent >= CONNECTS:
+            if choice is None or failed_connects >= MAX_FAILED_CONNECTS:
                 return self._give_up_unplaced(job)
             refused = self.overload.find_refusal(job, choice)
             if refused is not None:
                 return refused
-            outcome = await self._send(job, choice)
+            outcome = await self._attempt(job, choice)
             if isinstance(outcome, NotSent):
-                unsent += 1
+                failed_connects += 1
                 if not job.may_be_sent_anew:
-                    return _break_off(job, outcome.reason)
-            elif not isinstance(outcome, GoOn):
+                    return _failure_after_send(job, outcome.reason)
+            elif not isinstance(outcome, ContinueElsewhere):
                 return outcome
 
     def _give_up_unplaced(self, job: Job) -> GatewayOutcome:
@@ -178,6 +196,10 @@
         )
 
     def _choose(self, job: Job) -> Choice | None:
+        """Return the endpoint for the next attempt, None if there is none.
+
+        A stream that was moved goes to the endpoint that holds its copy.
+        """
         if job.move_target is not None:
             record = self.roster.by_id.get(job.move_target)
             if record is not None:
@@ -187,143 +209,161 @@
             job.route,
             job.request.prompt,
             request_id=job.request.id,
-            trial_weight=self.notes.trials.weight(
+            trial_weight=self.recorder.trials.weight(
                 job.service.name, job.route.name
             ),
             excluding=job.tried,
             is_spread=job.has_broken or self.holds.is_suspected(job.content),
         )
 
-    async def _send(
+    async def _attempt(
         self, job: Job, choice: Choice
-    ) -> GatewayOutcome | NotSent | GoOn:
-        with self.notes.open(job, choice) as send:
-            with choice.record.sending(send.sent_at):
-                return await self._exchange(job, send)
-            return self._end_broken(job, send, RESTARTED)
+    ) -> GatewayOutcome | NotSent | ContinueElsewhere:
+        """Make one attempt; it breaks off if the endpoint restarts."""
+        with self.recorder.open(job, choice) as attempt:
+            with choice.record.sending(attempt.sent_at):
+                return await self._exchange(job, attempt)
+            return self._handle_broken_call(job, attempt, ENDPOINT_RESTARTED)
 
     async def _exchange(
-        self, job: Job, send: Send
-    ) -> GatewayOutcome | NotSent | GoOn:
-        async with self.calls.send(send.call()) as sent:
+        self, job: Job, attempt: Attempt
+    ) -> GatewayOutcome | NotSent | ContinueElsewhere:
+        async with self.calls.send(attempt.call()) as sent:
             if isinstance(sent, NotSent):
-                send.note_unsent(sent.reason)
+                attempt.note_connect_failed(sent.reason)
                 return sent
             if isinstance(sent, NotAwaited):
-                send.note_unawaited()
+                attempt.note_caller_gone()
                 return CallerGone()
-            send.note_connected()
+            attempt.note_connected()
             job.kv_source = job.move_target = None
             if isinstance(sent, CallBroken):
-                return self._end_broken(job, send, sent)
-            return await self._take_answer(job, send, sent)
+                return self._handle_broken_call(job, attempt, sent)
+            return await self._handle_answer(job, attempt, sent)
 
-    async def _take_answer(
-        self, job: Job, send: Send, sent: SentRequest
-    ) -> GatewayOutcome | GoOn:
+    async def _handle_answer(
+        self, job: Job, attempt: Attempt, sent: SentRequest
+    ) -> GatewayOutcome | ContinueElsewhere:
+        """Wait for the head of the response, and handle the response."""
         patience = Patience(
-            send=send,
-            may_leave=lambda: self._may_send_again(job),
+            attempt=attempt,
+            may_leave=lambda: self._take_retry(job),
             clock=self.clock,
         )
         answer = await patience.wait(sent.answer)
         if isinstance(answer, Silent):
-            return GoOn()
+            return ContinueElsewhere()
         if isinstance(answer, CallBroken):
-            return self._end_broken(job, send, answer)
-        send.note_head(answer)
+            return self._handle_broken_call(job, attempt, answer)
+        attempt.note_response_head(answer)
         if isinstance(answer, TurnedDown):
-            return self._end_turned_down(job, send, answer)
+            return self._handle_turned_down(job, attempt, answer)
         if job.is_stream and answer.status == HTTPStatus.OK:
-            return await self._relay(job, answer, send, patience)
-        return await self._pass_on(job, answer, send, patience)
-
-    async def _pass_on(
-        self, job: Job, answer: EndpointAnswer, send: Send, patience: Patience
-    ) -> GatewayOutcome | GoOn:
-        """Pass a whole answer on; an error may be tried elsewhere first."""
-        send.note_begun()
+            return await self._forward_stream(job, answer, attempt, patience)
+        return await self._forward_whole(job, answer, attempt, patience)
+
+    async def _forward_whole(
+        self,
+        job: Job,
+        answer: EndpointAnswer,
+        attempt: Attempt,
+        patience: Patience,
+    ) -> GatewayOutcome | ContinueElsewhere:
+        """Forward a whole response; retry a 5xx elsewhere if allowed."""
+        attempt.note_begun()
         whole = await receive_whole(answer, patience, job)
         if isinstance(whole, Silent):
-            return GoOn()
+            return ContinueElsewhere()
         if isinstance(whole, CallBroken):
-            return self._end_broken(job, send, whole)
+            return self._handle_broken_call(job, attempt, whole)
         if not isinstance(whole, WholeAnswer):
             return whole
         is_error = answer.status >= HTTPStatus.INTERNAL_SERVER_ERROR
-        send.note_answer(failed=is_error)
-        if is_error and self._may_send_again(job):
-            return GoOn()
+        attempt.note_result(failed=is_error)
+        if is_error and self._take_retry(job):
+            return ContinueElsewhere()
         return await pass_on_whole(job, whole)
 
-    async def _relay(
-        self, job: Job, answer: EndpointAnswer, send: Send, patience: Patience
-    ) -> GatewayOutcome | GoOn:
-        """Pass events on until they end, or the run has moved elsewhere."""
+    async def _forward_stream(
+        self,
+        job: Job,
+        answer: EndpointAnswer,
+        attempt: Attempt,
+        patience: Patience,
+    ) -> GatewayOutcome | ContinueElsewhere:
+        """Forward events until the stream ends, or continues elsewhere.
+
+        A stream that breaks off continues from the copy of its KV cache, if
+        there is one; otherwise it counts as a broken call.
+        """
         prompt = job.request.prompt
         stream = RunningStream(
             request_id=job.request.id,
             service=job.service,
-            record=send.choice.record,
+            record=attempt.choice.record,
             tokens=0 if prompt is None else prompt.tokens,
         )
         with self.evacuation.running(stream):
-            ended = await relay_events(job, answer, send, patience)
+            ended = await relay_events(job, answer, attempt, patience)
         if isinstance(ended, Silent):
-            return GoOn()
+            return ContinueElsewhere()
         if not isinstance(ended, CallBroken):
-            send.note_answer(failed=False)
+            attempt.note_result(failed=False)
             return ended
         is_held = self.holds.is_held(job.content)
         if job.last_event_id is not None and not is_held:
             copy = await self.evacuation.claim_copy(stream)
             if copy is not None:
-                send.note_answer(failed=False)
+                attempt.note_result(failed=False)
                 job.kv_source = copy.kv_source
                 job.move_target = copy.holder.id
-                return GoOn()
-        return self._end_broken(job, send, ended)
-
-    def _end_turned_down(
-        self, job: Job, send: Send, answer: TurnedDown
-    ) -> GatewayOutcome | GoOn:
-        send.note_unrun(answer)
-        if self._may_send_again(job, is_proven_unrun=True):
-            return GoOn()
+                return ContinueElsewhere()
+        return self._handle_broken_call(job, attempt, ended)
+
+    def _handle_turned_down(
+        self, job: Job, attempt: Attempt, answer: TurnedDown
+    ) -> GatewayOutcome | ContinueElsewhere:
+        attempt.note_turned_down(answer)
+        if self._take_retry(job, is_proven_not_run=True):
+            return ContinueElsewhere()
         return job.give_up(
             Reason.TURNED_DOWN,
             f'the endpoint answered {answer.status}',
             retry_after_s=max(
-                self.roster.opens_in_s(job.service.name), SOON_S
+                self.roster.opens_in_s(job.service.name), TRANSIENT_RETRY_S
             ),
         )
 
-    def _end_broken(
-        self, job: Job, send: Send, broken: CallBroken
-    ) -> GatewayOutcome | GoOn:
+    def _handle_broken_call(
+        self, job: Job, attempt: Attempt, broken: CallBroken
+    ) -> GatewayOutcome | ContinueElsewhere:
         job.has_broken = True
-        send.note_broken(broken.reason)
-        if self._may_send_again(job):
-            return GoOn()
-        return _break_off(job, broken.reason)
+        attempt.note_broken(broken.reason)
+        if self._take_retry(job):
+            return ContinueElsewhere()
+        return _failure_after_send(job, broken.reason)
 
-    def _may_send_again(
-        self, job: Job, *, is_proven_unrun: bool = False
+    def _take_retry(
+        self, job: Job, *, is_proven_not_run: bool = False
     ) -> bool:
-        """Whether it may go to a further endpoint; spends a retry."""
+        """Whether the request may go to a further endpoint; spends a retry.
+
+        `is_proven_not_run` is set if the endpoint states that it has not run
+        the request; only then may a non-repeatable request be sent again.
+        """
         if not job.route.may_repeat and (
-            job.may_have_run or not is_proven_unrun
+            job.may_have_run or not is_proven_not_run
         ):
             return False
         if job.sends >= job.route.max_endpoints:
             return False
-        if not self.holds.may_go_on(job.content, is_unrun=is_proven_unrun):
+        if not self.holds.may_go_on(job.content, is_unrun=is_proven_not_run):
             return False
-        if not self._has_other(job):
+        if not self._has_alternative(job):
             return False
         return self.budget.take(job.service.name)
 
-    def _has_other(self, job: Job) -> bool:
+    def _has_alternative(self, job: Job) -> bool:
         return bool(
             self.chooser.find_open(
                 job.service.name,
@@ -332,16 +372,18 @@
             )
         )
 
-    def _end_late(self, job: Job) -> GatewayOutcome:
+    def _end_at_deadline(self, job: Job) -> GatewayOutcome:
         if job.sink.is_started:
             return BrokenOff(reason='no whole answer in time')
         return job.give_up(
-            Reason.DEADLINE, 'no answer in time', retry_after_s=SOON_S
+            Reason.DEADLINE,
+            'no answer in time',
+            retry_after_s=TRANSIENT_RETRY_S,
         )
 
 
-def _break_off(job: Job, reason: str) -> GatewayOutcome:
-    """Return the outcome of a request that may have run."""
+def _failure_after_send(job: Job, reason: str) -> GatewayOutcome:
+    """Return the outcome of a request that failed and may have run."""
     if job.sink.is_started:
         return BrokenOff(reason=reason)
     return job.fail(Reason.ENDPOINT_FAILED, reason)
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/parts.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/parts.py
@@ -10,6 +10,7 @@
 from mimosamux_daemon.adapters.thrift_peers import ThriftPeers
 from mimosamux_daemon.domain.names import DaemonId
 from mimosamux_daemon.gateway.admission import Admission, ConfirmationLimits
+from mimosamux_daemon.gateway.attempts import AttemptRecorder
 from mimosamux_daemon.gateway.begun_counts import BegunCounts
 from mimosamux_daemon.gateway.cap_loans import CapLoans
 from mimosamux_daemon.gateway.cap_record import CapRecord
@@ -49,7 +50,6 @@
 from mimosamux_daemon.gateway.rollouts import Rollouts
 from mimosamux_daemon.gateway.roster import Roster
 from mimosamux_daemon.gateway.scaling import Scaling
-from mimosamux_daemon.gateway.sends import SendNotes
 from mimosamux_daemon.gateway.settings import GatewaySettings
 from mimosamux_daemon.gateway.shared_time import SharedTime
 from mimosamux_daemon.gateway.store_health import StoreHealth
@@ -379,7 +379,7 @@
                 daemons=self.states.expected,
                 clock=self._clock,
             ),
-            notes=SendNotes(
+            recorder=AttemptRecorder(
                 roster=self.roster,
                 chooser=self.chooser,
                 begun=self.begun,
@@ -387,7 +387,7 @@
                 limits=self.limits,
                 trials=self.trials,
                 metrics=self.metrics,
-                news_age_s=self.states.news_age_s,
+                digest_age_s=self.states.news_age_s,
                 list_age_s=lambda: self.endpoint_reader.age_s,
                 clock=self._clock,
             ),
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/relay.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/relay.py
@@ -12,9 +12,9 @@
     Delivered,
     GatewayOutcome,
 )
+from mimosamux_daemon.gateway.attempts import Attempt
 from mimosamux_daemon.gateway.events import EventSplitter
 from mimosamux_daemon.gateway.jobs import Job
-from mimosamux_daemon.gateway.sends import Send
 from mimosamux_daemon.ports.endpoint_calls import CallBroken, EndpointAnswer
 
 MAX_BUFFERED_BYTES = 1024 * 1024
@@ -41,7 +41,7 @@
 class Patience:
     """Waits for an endpoint, until it is better left for another one."""
 
-    send: Send
+    attempt: Attempt
     may_leave: Callable[[], bool]
     """Whether the request may go elsewhere; spends a retry if so."""
     clock: Callable[[], float]
@@ -52,15 +52,15 @@
     ) -> ResultT | Silent:
         """Return what comes; once it may not be left, wait for good."""
         while not self.is_over:
-            if self.send.is_read:
+            if self.attempt.has_first_event:
                 # Nothing leaves an endpoint whose answer has begun, and a
                 # timer for each event costs as much as passing it on.
                 break
-            left_s = self.send.silent_at - self.clock()
+            left_s = self.attempt.silence_deadline - self.clock()
             with anyio.move_on_after(max(left_s, 0.0)):
                 return await receive()
             if self.may_leave():
-                self.send.note_silent()
+                self.attempt.note_silent()
                 return Silent()
             self.is_over = True
         return await receive()
@@ -105,7 +105,7 @@
 
 
 async def relay_events(
-    job: Job, answer: EndpointAnswer, send: Send, patience: Patience
+    job: Job, answer: EndpointAnswer, attempt: Attempt, patience: Patience
 ) -> GatewayOutcome | CallBroken | Silent:
     """Pass events on as they arrive, whole ones only."""
     splitter = EventSplitter()
@@ -119,8 +119,8 @@
         events = splitter.feed(part)
         if events is None:
             continue
-        if not send.is_read:
-            send.note_first_event()
+        if not attempt.has_first_event:
+            attempt.note_first_event()
         job.last_event_id = events.last_id or job.last_event_id
         if job.sink.is_started:
             is_sent = await job.sink.write(events.data)
--- a/tests/test_gateway_schedules.py
+++ b/tests/test_gateway_schedules.py
@@ -77,8 +77,8 @@
             spoil(Fault.LOST),
             mock.patch.object(
                 Forwarder,
-                '_may_send_again',
-                lambda self, job, is_proven_unrun=False: job.sends < 3,
+                '_take_retry',
+                lambda self, job, is_proven_not_run=False: job.sends < 3,
             ),
         )
 
