--- a/benchmarks/bench_gateway.py
+++ b/benchmarks/bench_gateway.py
@@ -99,7 +99,7 @@
         self.index_by_id = {each.id: each.number for each in self.daemons}
         centre_by_id = {each.id: each.centre for each in self.daemons}
         for daemon in self.daemons:
-            daemon.states.introduce(centre_by_id, centre_by_id)
+            daemon.states.add_daemons(centre_by_id, centre_by_id)
             self.at(self.now + self.rng.uniform(0, 0.25), daemon.tick)
 
     def at(self, when: float, work: Callable[[], None]) -> None:
@@ -221,7 +221,7 @@
     )
     states = [daemon.states for daemon in fleet.daemons]
     behind = max(
-        each.next_sequence - 1 - each.heard_by_all() for each in states
+        each.next_sequence - 1 - each.acked_by_all() for each in states
     )
     return (
         count,
@@ -230,6 +230,6 @@
         round(sent / 1000, 1),
         round(far / 1000, 1),
         round(took_ms / count / MEASURED_S, 1),
-        round(max(each.news_age_s() for each in states), 2),
+        round(max(each.oldest_digest_age_s() for each in states), 2),
         round(behind * states[0].interval_s, 2),
     )
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/caps.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/caps.py
@@ -209,7 +209,7 @@
             return CapRefusal(retry_after_s=max(wait_s, LEAST_WAIT_S))
         part = self._part(state)
         if state.recent.total + cost > HURRY_SHARE * part:
-            self._states.hurry()
+            self._states.expedite()
         missing = self._missing_parts(account.id, state, part, cost)
         if missing > 0:
             return CapRefusal(
@@ -390,11 +390,11 @@
 
     def _refresh(self, id_: AccountId) -> _Account:
         state = self._by_id.setdefault(id_, _Account())
-        self._forget_old(state, self._states.heard_by_all())
+        self._forget_old(state, self._states.acked_by_all())
         return state
 
     def _refresh_all(self) -> dict[AccountId, _Account]:
-        confirmed = self._states.heard_by_all()
+        confirmed = self._states.acked_by_all()
         for state in self._by_id.values():
             self._forget_old(state, confirmed)
         return self._by_id
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/confirmations.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/confirmations.py
@@ -65,7 +65,7 @@
             peer
             for peer in map(self._by_id.get, members)
             if peer is not None
-            and self._relays.neighbour(peer.place.id).confirmed
+            and self._relays.neighbour(peer.place.id).acked_batch
         ]
         of_group = id_ in members
         heard = [
@@ -84,7 +84,9 @@
         self, origin: PeerState, members: list[PeerState]
     ) -> int:
         taken = [
-            self._relays.neighbour(member.place.id).has(origin.lifetime)
+            self._relays.neighbour(member.place.id).acked_sequence(
+                origin.lifetime
+            )
             for member in members
             if member is not origin
         ]
@@ -96,7 +98,7 @@
         """Take which of this daemon's digests others have."""
         peer = self._by_id.get(sender)
         if peer is not None and peer.lifetime == neighbour.lifetime:
-            self.note_heard(peer, neighbour.has(self._lifetime))
+            self.note_heard(peer, neighbour.acked_sequence(self._lifetime))
         heard_by_lifetime: dict[int, int] = {}
         for group in batch.confirmed:
             for heard in group.heard:
@@ -119,8 +121,8 @@
 
     def note_heard(self, peer: PeerState, sequence: int) -> None:
         """Note that a peer surely has a digest, and all before it."""
-        if sequence > peer.heard_sequence:
-            peer.heard_sequence = sequence
+        if sequence > peer.acked_sequence:
+            peer.acked_sequence = sequence
             self._has_confirmed = True
 
     def wake_waiters(self) -> None:
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/crash_exchange.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/crash_exchange.py
@@ -91,7 +91,7 @@
             listeners = self.on_suspected if is_suspected else self.on_cleared
             for listener in listeners:
                 listener(content)
-        if source == LOCAL or self.states.passes_on:
+        if source == LOCAL or self.states.forwards_messages:
             self.states.queue(CrashWithdrawn(endpoint=str(start)))
         return True
 
@@ -178,7 +178,7 @@
             known = self.suspects.by_content.get(suspect.content)
             if known is not None and known.crashed > suspect.crashed:
                 missing_at_sender.append(suspect.content)
-        if changed_contents and self.states.passes_on:
+        if changed_contents and self.states.forwards_messages:
             self._broadcast(changed_contents)
         # The sender may have missed messages, for example in a network
         # partition. With fewer known crashes it would let the content crash
@@ -198,7 +198,7 @@
             log.info('suspect_cleared', content=content, source=sender)
             for listener in self.on_cleared:
                 listener(content)
-        if cleared and self.states.passes_on:
+        if cleared and self.states.forwards_messages:
             self.states.queue(SuspectsCleared(contents=list(cleared)))
 
     def _parse(self, record: SuspectTold) -> Suspect | None:
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/daemon.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/daemon.py
@@ -72,7 +72,7 @@
     def reload(self, settings: GatewaySettings) -> None:
         """Take what may change while the daemon runs."""
         log.info('settings_reloaded', seeds=len(settings.seeds))
-        self.parts.states.introduce(settings.seeds)
+        self.parts.states.add_daemons(settings.seeds)
 
     async def run(self) -> None:
         """Serve until the stop, and finish what is under way by then."""
@@ -80,7 +80,7 @@
             tasks.start_soon(self._platform.run)
             tasks.start_soon(self.parts.peers.run)
             await self.parts.peers.listening.wait()
-            self.parts.states.introduce(self.settings.seeds)
+            self.parts.states.add_daemons(self.settings.seeds)
             for loop in self.parts.loops():
                 tasks.start_soon(loop)
             with anyio.move_on_after(FIRST_READ_S):
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/daemon_rows.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/daemon_rows.py
@@ -19,7 +19,7 @@
     Unavailable,
     Write,
 )
-from mimosamux_daemon.gateway.groups import NOWHERE
+from mimosamux_daemon.gateway.groups import UNKNOWN_DATA_CENTRE
 from mimosamux_daemon.gateway.peer_states import PeerStates
 from mimosamux_daemon.logs import get_log
 from mimosamux_daemon.ports import Table
@@ -97,7 +97,7 @@
             DaemonId(row.key.removeprefix(PREFIX)): _parse_link(row)
             for row in rows
         }
-        self.states.introduce(found, found, links)
+        self.states.add_daemons(found, found, links)
         return True
 
 
@@ -107,7 +107,7 @@
         return DataCentreName(str(orjson.loads(row.value)[CENTRE]))
     except (ValueError, TypeError, KeyError):
         log.info('centre_not_told', key=row.key)
-        return NOWHERE
+        return UNKNOWN_DATA_CENTRE
 
 
 def _parse_link(row: Row) -> float:
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/endpoint_limits.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/endpoint_limits.py
@@ -203,7 +203,7 @@
         self._settle(record, word, self._find_ready())
         if before is None and word.per_s is not None:
             if word.is_own:
-                self.states.hurry()
+                self.states.expedite()
             self._named.set()
 
     def _settle_all(self) -> bool:
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/groups.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/groups.py
@@ -1,8 +1,10 @@
-"""Groups of daemons of one data centre, the same at each that knows them.
+"""Divides the daemons of a data centre into groups, without coordination.
 
-Every daemon telling every other one costs as many messages as there are
-pairs: at 195 daemons each sent 80 of 3 KB a second and heard how things stand
-2.4 s late. In groups, one daemon of each tells the other groups.
+If every daemon sends to every other one, the number of messages grows with
+the square of the daemons: at 195 daemons, each sent 80 messages of 3 KB a
+second, and state arrived 2.4 s late. With groups, one relay of each group
+exchanges digests with the other groups. Daemons that know the same daemons
+compute the same groups.
 """
 
 from collections import defaultdict
@@ -14,28 +16,30 @@
 from mimosamux_daemon.domain.names import DaemonId, DataCentreName
 
 LARGEST_GROUP = 12
-"""Daemons that a relay tells directly; up to so many in all, each is a
-group of its own, so that all tell each other without a relay between."""
-NOWHERE = DataCentreName('')
-"""Of a daemon whose data centre is not known yet."""
+"""Daemons that one relay sends to directly. Up to this number of daemons in
+all, each is a group of its own, so all exchange digests without relays."""
+UNKNOWN_DATA_CENTRE = DataCentreName('')
+"""Stands for a data centre that is not known yet."""
 
 GroupKey = tuple[str, int]
+"""A data centre and the group's index in it; a daemon's id and 0 for a
+daemon that is a group of its own."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Groups:
-    """Daemons by group, each group in the order in which they relay."""
+    """Daemons by group, each group in the order of preference as relay."""
 
     by_key: Mapping[GroupKey, tuple[DaemonId, ...]]
     key_by_id: Mapping[DaemonId, GroupKey]
 
     def of(self, id_: DaemonId) -> tuple[DaemonId, ...]:
-        """Return the group of a daemon; alone if it is not known."""
+        """Return the group of a daemon; only itself if it is unknown."""
         key = self.key_by_id.get(id_)
         return (id_,) if key is None else self.by_key[key]
 
     def others(self, id_: DaemonId) -> Iterator[tuple[DaemonId, ...]]:
-        """Return every group but that of a daemon."""
+        """Yield every group except that of a daemon."""
         own = self.key_by_id.get(id_)
         for key, group in self.by_key.items():
             if key != own:
@@ -48,12 +52,12 @@
 ) -> Groups:
     """Return the groups of these daemons.
 
-    Those with the widest links relay, one in each group while there are
-    enough: what a relay sends goes out over its own link once for each
-    member. Links that are not known count as the narrowest.
+    Daemons with the widest links are the preferred relays, one in each group
+    while there are enough of them: a relay sends each digest once per member
+    over its own link. A link of unknown bandwidth ranks last.
 
-    Nobody agrees on them: whoever knows the same daemons comes to the same
-    groups, and where two views differ a daemon is told twice or late.
+    Daemons do not coordinate: the same known daemons give the same groups.
+    Where two views differ, a daemon gets a digest twice or late.
     """
     links = {} if link_by_id is None else link_by_id
 
@@ -64,13 +68,13 @@
     is_flat = len(centre_by_id) <= LARGEST_GROUP
     ids_by_centre: dict[DataCentreName, list[DaemonId]] = defaultdict(list)
     for id_, centre in centre_by_id.items():
-        if is_flat or centre == NOWHERE:
+        if is_flat or centre == UNKNOWN_DATA_CENTRE:
             members[(id_, 0)].append(id_)
         else:
             ids_by_centre[centre].append(id_)
     for centre, ids in ids_by_centre.items():
-        for id_, part in _divide(ids, links, rank).items():
-            members[(centre, part)].append(id_)
+        for id_, index in _assign(ids, links, rank).items():
+            members[(centre, index)].append(id_)
     by_key = {
         key: tuple(sorted(group, key=rank)) for key, group in members.items()
     }
@@ -78,37 +82,39 @@
     return Groups(by_key=by_key, key_by_id=key_by_id)
 
 
-def _divide(
+def _assign(
     ids: Sequence[DaemonId],
     links: Mapping[DaemonId, float],
     rank: Callable[[DaemonId], tuple[float, int]],
 ) -> dict[DaemonId, int]:
-    """Return the group of each daemon of a data centre.
+    """Return the group index of each daemon of a data centre.
 
-    The widest links are dealt out, one to each group; all others stay where
-    they are whoever comes or goes.
+    Daemons with the widest links are spread over the groups, one each. The
+    index of all others is a hash of their id, so that it does not depend on
+    which daemons come or go.
     """
-    parts = _parts(len(ids))
-    part_by_id = {id_: _hash(id_) % parts for id_ in ids}
+    count = _count_groups(len(ids))
+    index_by_id = {id_: _hash(id_) % count for id_ in ids}
     widest = max((links.get(id_, 0.0) for id_ in ids), default=0.0)
     wide = sorted(
         (id_ for id_ in ids if links.get(id_, 0.0) == widest), key=rank
     )
     if len(wide) < len(ids):
-        for place, id_ in enumerate(wide[:parts]):
-            part_by_id[id_] = place
-    return part_by_id
+        for index, id_ in enumerate(wide[:count]):
+            index_by_id[id_] = index
+    return index_by_id
 
 
-def _parts(daemons: int) -> int:
-    """Return into how many groups a data centre is divided.
+def _count_groups(daemons: int) -> int:
+    """Return the number of groups for the daemons of a data centre.
 
-    A power of two: one more daemon then moves few others between groups.
+    It is a power of two, so that an additional daemon moves few others
+    between groups.
     """
-    parts = 1
-    while parts * LARGEST_GROUP < daemons:
-        parts *= 2
-    return parts
+    count = 1
+    while count * LARGEST_GROUP < daemons:
+        count *= 2
+    return count
 
 
 def _hash(id_: DaemonId) -> int:
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/leaving_exchange.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/leaving_exchange.py
@@ -58,7 +58,7 @@
                 source=sender,
                 incarnation=_number_at(message.incarnations, place),
             )
-        if is_news and self.states.passes_on:
+        if is_news and self.states.forwards_messages:
             self.states.queue(message)
 
 
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/neighbours.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/neighbours.py
@@ -1,9 +1,9 @@
-"""What one daemon sent to another directly, and has from it.
+"""Reliable exchange of gossip digests between two directly connected daemons.
 
-Batches hold what is new to the receiver. One that is lost must not make
-anybody believe that the receiver knows what was in it: the receiver takes
-only an unbroken row of batches as complete, says up to where it has it, and
-gets everything anew when it has fallen behind.
+A batch holds the digests that are new to its receiver. Batches may be lost,
+and the sender must not conclude that the receiver has what a lost batch held.
+The receiver therefore acknowledges only the end of an unbroken sequence of
+batches, and gets every digest again once too many batches are unacknowledged.
 """
 
 from collections import deque
@@ -12,140 +12,161 @@
 
 from mimosamux_wire import StateBatch
 
-BEHIND = 12
-"""Batches that a receiver may be behind before it is sent all anew: more
-than a relay sends while a member that tells every 2 s says nothing."""
-KEPT = 32
-"""Batches whose content is remembered for their receiver's answer."""
+MAX_UNACKED_BATCHES = 12
+"""Unacknowledged batches after which all digests are sent again. More than
+a relay sends between two messages of a member that sends every 2 s."""
+KEPT_BATCHES = 32
+"""Batches whose content is kept until the receiver acknowledges them."""
 KEPT_DIGESTS = 4
-"""Digests of one daemon that are passed on if it told several at once;
-parts of prompts are told only once each."""
+"""Digests kept per process, for one that wrote several in quick succession:
+each part of a prompt is in a single digest, so older ones are needed too."""
 
 Sequences = Mapping[int, int]
-"""Newest digest by the lifetime of the process that wrote it."""
+"""Sequence number of the newest digest, by the lifetime of its process."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Encoded:
-    """A digest as it is passed on."""
+class EncodedDigest:
+    """A digest in wire format, as relays forward it."""
 
     sequence: int
     data: bytes
 
 
 @dataclass(kw_only=True, slots=True)
-class News:
-    """The newest digests of one process, in their order."""
+class RecentDigests:
+    """The newest digests of one process, oldest first."""
 
     lifetime: int
-    entries: deque[Encoded] = field(
+    entries: deque[EncodedDigest] = field(
         default_factory=lambda: deque(maxlen=KEPT_DIGESTS)
     )
 
     @property
-    def newest(self) -> int:
-        """Return the sequence of the newest one."""
+    def newest_sequence(self) -> int:
+        """Return the sequence number of the newest digest, 0: none."""
         return self.entries[-1].sequence if self.entries else 0
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class _Batch:
+    """A sent batch, and the digests that its receiver has after it."""
+
     number: int
     sequences: Sequences
 
 
 @dataclass(kw_only=True, slots=True)
 class Neighbour:
-    """The exchange with one daemon."""
+    """State of the exchange with one directly connected daemon."""
 
-    number: int
-    """Newest batch sent to it. Begins above all that an earlier exchange
-    with it may have used: an answer to one of those would pass for one to a
-    batch that is lost."""
+    sent_batch: int
+    """Number of the newest batch sent. Starts above every number that an
+    earlier exchange with this daemon may have used: otherwise a late
+    acknowledgement could count for a lost batch of this exchange."""
     heard_at: float | None = None
-    """When it last sent a batch itself."""
-    asked_at: float | None = None
-    """Since when it is told as a relay and has not answered."""
-    hangs_on_until: float = 0.0
-    """Up to when it takes this daemon for its relay."""
-    left_until: float = 0.0
-    """Up to when it is not taken for a relay, as it did not answer."""
+    """When its last batch arrived, None: never."""
+    awaiting_since: float | None = None
+    """Since when it is used as a relay without an answer, None: it is not
+    used as a relay, or it answers."""
+    member_until: float = 0.0
+    """Until when it counts as using this daemon as its relay."""
+    skipped_until: float = 0.0
+    """Until when it is not tried as a relay, since it did not answer."""
     lifetime: int = 0
-    taken: int = 0
-    """Its newest batch up to which nothing is missing here."""
-    _answered: int = 0
-    """Newest batch of it that it was told to have been taken."""
-    confirmed: int = 0
-    """Newest batch up to which it has all, 0: it never said so."""
-    _anew_at: int = 0
-    """Batch behind which its silence counts."""
-    _sent: dict[int, int] = field(default_factory=dict)
-    """Newest digest of each process that was sent to it."""
-    _batches: deque[_Batch] = field(default_factory=lambda: deque(maxlen=KEPT))
-    _confirmed: Sequences = field(default_factory=dict)
+    received_batch: int = 0
+    """Newest batch received from it without a gap before it."""
+    _reported_batch: int = 0
+    """Newest value of `received_batch` that was acknowledged to it."""
+    acked_batch: int = 0
+    """Newest batch that it acknowledged, 0: none yet."""
+    _resent_at: int = 0
+    """Batch number from which unacknowledged batches are counted."""
+    _sent_sequences: dict[int, int] = field(default_factory=dict)
+    """Newest digest sent to it, by lifetime."""
+    _unacked_batches: deque[_Batch] = field(
+        default_factory=lambda: deque(maxlen=KEPT_BATCHES)
+    )
+    _acked_sequences: Sequences = field(default_factory=dict)
 
     def take(self, batch: StateBatch, *, own_lifetime: int) -> None:
-        """Note what a batch of it says of the exchange itself."""
+        """Update numbers and acknowledgements from a received batch."""
         if batch.lifetime != self.lifetime:
-            self._begin_anew(batch.lifetime)
-        if batch.after <= self.taken:
-            self.taken = max(self.taken, batch.number)
+            self._reset(batch.lifetime)
+        if batch.after <= self.received_batch:
+            self.received_batch = max(self.received_batch, batch.number)
         if batch.taken_lifetime == own_lifetime:
-            self._confirm(batch.taken)
+            self._note_ack(batch.taken)
 
-    def fill(self, batch: StateBatch, offered: Iterable[News]) -> bool:
-        """Add to a batch what of some news its receiver does not have.
+    def fill(
+        self, batch: StateBatch, offered: Iterable[RecentDigests]
+    ) -> bool:
+        """Add those of the offered digests that the receiver does not have.
 
-        False if there is nothing to send: no news, and no answer that its
-        receiver waits for.
+        Return False if the batch need not be sent: it holds no digest, and
+        the receiver waits for no acknowledgement.
         """
-        if self.number - max(self.confirmed, self._anew_at) > BEHIND:
-            self._sent.clear()
-            self._anew_at = self.number
-        is_anew = not self._sent
-        told: dict[int, int] = {}
+        if (
+            self.sent_batch - max(self.acked_batch, self._resent_at)
+            > MAX_UNACKED_BATCHES
+        ):
+            self._sent_sequences.clear()
+            self._resent_at = self.sent_batch
+        is_resend = not self._sent_sequences
+        added: dict[int, int] = {}
         is_complete = True
-        for news in offered:
-            sent = self._sent.get(news.lifetime, 0)
-            if news.newest <= sent:
+        for digests in offered:
+            sent = self._sent_sequences.get(digests.lifetime, 0)
+            if digests.newest_sequence <= sent:
                 is_complete = False
                 continue
-            entries = [each for each in news.entries if each.sequence > sent]
-            if is_anew:
+            entries = [
+                each for each in digests.entries if each.sequence > sent
+            ]
+            if is_resend:
                 entries = entries[-1:]
             batch.digests.extend(each.data for each in entries)
-            told[news.lifetime] = news.newest
-        owes_answer = batch.is_member and self.taken > self._answered
-        if not batch.digests and not owes_answer:
+            added[digests.lifetime] = digests.newest_sequence
+        owes_ack = (
+            batch.is_member and self.received_batch > self._reported_batch
+        )
+        if not batch.digests and not owes_ack:
             return False
-        # A complete batch vouches for nothing that it does not hold.
-        self._sent = told if is_complete else self._sent | told
-        batch.after = 0 if is_complete else self.number
-        self.number += 1
-        batch.number = self.number
-        batch.taken_lifetime, batch.taken = self.lifetime, self.taken
-        self._answered = self.taken
-        self._batches.append(
-            _Batch(number=self.number, sequences=dict(self._sent))
+        # A complete batch depends on no earlier one, so acknowledging it
+        # proves only the receipt of the digests that it holds.
+        self._sent_sequences = (
+            added if is_complete else self._sent_sequences | added
+        )
+        batch.after = 0 if is_complete else self.sent_batch
+        self.sent_batch += 1
+        batch.number = self.sent_batch
+        batch.taken_lifetime, batch.taken = self.lifetime, self.received_batch
+        self._reported_batch = self.received_batch
+        self._unacked_batches.append(
+            _Batch(
+                number=self.sent_batch, sequences=dict(self._sent_sequences)
+            )
         )
         return True
 
-    def has(self, lifetime: int) -> int:
-        """Return the newest digest of a process that it surely has taken."""
-        return self._confirmed.get(lifetime, 0)
+    def acked_sequence(self, lifetime: int) -> int:
+        """Return the newest digest of a process that it acknowledged."""
+        return self._acked_sequences.get(lifetime, 0)
 
-    def _confirm(self, number: int) -> None:
-        if number < self.confirmed:
+    def _note_ack(self, number: int) -> None:
+        if number < self.acked_batch:
             return
-        self.confirmed = number
-        while self._batches and self._batches[0].number <= number:
-            self._confirmed = self._batches.popleft().sequences
-
-    def _begin_anew(self, lifetime: int) -> None:
-        """Begin with a process that knows nothing of the one before."""
+        self.acked_batch = number
+        while (
+            self._unacked_batches and self._unacked_batches[0].number <= number
+        ):
+            self._acked_sequences = self._unacked_batches.popleft().sequences
+
+    def _reset(self, lifetime: int) -> None:
+        """Start over with a new process, which has no earlier digest."""
         self.lifetime = lifetime
-        self.taken = self.confirmed = self._answered = 0
-        self._anew_at = self.number
-        self._sent.clear()
-        self._batches.clear()
-        self._confirmed = {}
+        self.received_batch = self.acked_batch = self._reported_batch = 0
+        self._resent_at = self.sent_batch
+        self._sent_sequences.clear()
+        self._unacked_batches.clear()
+        self._acked_sequences = {}
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/parts.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/parts.py
@@ -387,7 +387,7 @@
                 limits=self.limits,
                 trials=self.trials,
                 metrics=self.metrics,
-                digest_age_s=self.states.news_age_s,
+                digest_age_s=self.states.oldest_digest_age_s,
                 list_age_s=lambda: self.endpoint_reader.age_s,
                 clock=self._clock,
             ),
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/peer_states.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/peer_states.py
@@ -1,10 +1,9 @@
-"""How things stand at the other daemons, exchanged several times a second.
+"""Gossip: daemons exchange digests of their state several times a second.
 
-What a daemon tells replaces what it told before, and counters count from the
-start of a process, so a message that is lost does no harm beyond its age.
-Up to a dozen daemons tell each other directly. More of them hang on relays,
-which pass digests on unchanged: what is known of a daemon is always what it
-said itself.
+A digest replaces the daemon's earlier ones, and its counters count from the
+start of the process, so the loss of a message only delays information. Up to
+a dozen daemons send digests to each other directly. In larger sites, relays
+forward them unchanged, so all that is known of a peer is what it wrote itself.
 """
 
 import math
@@ -28,15 +27,19 @@
 from mimosamux_daemon.control.members import MemberState
 from mimosamux_daemon.domain.names import DaemonId, DataCentreName
 from mimosamux_daemon.gateway.confirmations import Confirmations
-from mimosamux_daemon.gateway.groups import LARGEST_GROUP, NOWHERE
-from mimosamux_daemon.gateway.neighbours import Encoded, News
+from mimosamux_daemon.gateway.groups import LARGEST_GROUP, UNKNOWN_DATA_CENTRE
+from mimosamux_daemon.gateway.neighbours import EncodedDigest, RecentDigests
 from mimosamux_daemon.gateway.peer_records import (
     DaemonPlace,
     PeerState,
     place_of,
     state_of,
 )
-from mimosamux_daemon.gateway.relays import ANSWER_S, Relays, longest_silence
+from mimosamux_daemon.gateway.relays import (
+    ANSWER_TIMEOUT_S,
+    Relays,
+    shared_silence_s,
+)
 from mimosamux_daemon.logs import get_log
 from mimosamux_daemon.ports import PeerLinks
 
@@ -44,51 +47,51 @@
 
 log = get_log('peer_states')
 
-INTERVAL_S = 0.25
+DIGEST_INTERVAL_S = 0.25
 INTERVAL_PER_DAEMON_S = 0.01
-"""The interval grows with the daemons, so that one takes in no more than a
-hundred digests a second, 48 KB, however many there are."""
+"""The interval between digests grows with the number of daemons, so that
+each receives at most a hundred digests (48 KB) a second."""
 DUE_SHARE = 0.9
-"""Part of the interval from which on a digest is due: pauses vary by a tenth,
-so that daemons which started together do not go on telling together."""
-FORWARD_S = 0.1
-FORWARD_PER_PEER_S = 0.0125
-"""Pause of a relay before it passes on what is new: the least, and for each
-daemon that it tells, so that its messages stay at 80 a second. Passed on only
-at the interval of digests, a use of a cap took 1.2 s to be confirmed by 23
-peers, and requests were refused that had room."""
-HURRIED_INTERVAL_S = 0.1
-"""The interval while what is told is urgent, in a small site; it grows like
-the other one."""
-LONGEST_FORWARD_S = 0.5
-"""Longest pause of a relay, however many it tells."""
-FRESH_S = 1.0
-"""A digest older than this, and than four intervals, is out of date."""
-HOPS = 3
-"""Daemons that pass a digest on, and its receiver."""
+"""Part of the interval after which a digest is due. Pauses vary by a tenth,
+so that daemons which started together do not keep sending together."""
+MIN_FORWARD_PAUSE_S = 0.1
+FORWARD_PAUSE_PER_PEER_S = 0.0125
+"""Pause of a relay before it forwards new digests: the minimum, and the pause
+per daemon that it sends to, which limits it to 80 messages a second. Forwarded
+only once per digest interval, the use of a cap took 1.2 s to be acknowledged
+by 23 peers, and requests were refused although the cap had room."""
+URGENT_INTERVAL_S = 0.1
+"""Interval between digests while an update is urgent, in a small site. It
+grows with the number of daemons too, half as fast."""
+MAX_FORWARD_PAUSE_S = 0.5
+"""Longest pause of a relay, however many daemons it sends to."""
+MIN_FRESH_S = 1.0
+"""A digest older than this and than four intervals is stale."""
+MAX_HOPS = 3
+"""Hops of a digest: to a relay, to a relay of another group, to a member."""
 SILENT_INTERVALS = 2.5
-"""Intervals without a word from any peer after which something is wrong
-with this daemon's connections, and not with a peer."""
-FEWEST_SILENT = 2
-"""Peers that have to be silent: one alone may have died."""
-GONE_S = 30.0
-"""A daemon that is silent for so long is not sent anything any more."""
-KEPT_ENDED = 4096
-"""Processes that are remembered to have ended, against their late news."""
+"""Intervals without a batch from any peer after which this daemon's own
+connections are taken to be broken, rather than a peer."""
+MIN_SILENT_PEERS = 2
+"""Peers that must be silent for this: a single one may have died."""
+FORGET_AFTER_S = 30.0
+"""Silence after which a daemon is removed, and nothing is sent to it."""
+MAX_ENDED_LIFETIMES = 4096
+"""Ended processes that are remembered, to reject their late digests."""
 
 
 class DigestPart(Protocol):
-    """Something that daemons tell each other about."""
+    """A component with fields of its own in the digests."""
 
     def write(self, digest: StateDigest) -> None:
-        """Add what this daemon has to tell."""
+        """Set its fields in a digest of this daemon."""
 
     def take(self, peer: PeerState, digest: StateDigest) -> None:
-        """Take what a peer tells."""
+        """Read its fields from a digest of a peer."""
 
 
 class PeerStates:
-    """The known peers, and the exchange with them."""
+    """The state of all known peers, and the gossip that keeps it current."""
 
     def __init__(
         self,
@@ -103,15 +106,15 @@
         self.lifetime = lifetime
         self.state = MemberState.JOINING
         self.by_id: dict[DaemonId, PeerState] = {}
-        """Peers that were heard of at least once."""
+        """Peers of which at least one digest arrived."""
         self.parts: list[DigestPart] = []
         self.on_silence: list[Callable[[], None]] = []
-        """Told when all peers in touch have fallen silent together."""
+        """Called when all connected peers have fallen silent together."""
         self.on_joined: list[Callable[[DaemonId], Awaitable[None]]] = []
-        """Told of each process that is heard directly for the first time."""
-        self._is_silent = False
+        """Called with the id of a daemon whose process first sends a batch."""
+        self._are_all_silent = False
         self.on_forgotten: list[Callable[[DaemonId], None]] = []
-        """Told of each peer that is given up."""
+        """Called with the id of each peer removed after a long silence."""
         self._peers = peers
         self._clock = clock
         self._rng = rng
@@ -123,7 +126,7 @@
             is_fresh=self._is_fresh,
             is_relay=self._is_relay,
         )
-        self._news = News(lifetime=lifetime)
+        self._own_digests = RecentDigests(lifetime=lifetime)
         self._confirmations = Confirmations(
             lifetime=lifetime,
             by_id=self.by_id,
@@ -131,129 +134,131 @@
             clock=clock,
         )
         self._ended: dict[int, None] = {}
-        """Lifetimes of processes that others have followed."""
+        """Lifetimes of processes that a restart has replaced, oldest first."""
         self._sequence = 0
-        self._told_at = -math.inf
-        self._told = 0
-        """Daemons that were told directly the last time."""
+        self._digest_sent_at = -math.inf
+        self._target_count = 0
+        """Daemons that the last round sent to."""
         self._queue: list[Message] = []
         self._queued = anyio.Event()
-        self._plain: dict[DaemonId, None] = {}
-        """Daemons of a version that tells single digests, to everybody."""
+        self._unbatched_ids: dict[DaemonId, None] = {}
+        """Daemons of an older version, which send single digests to all."""
         peers.handle(StateBatch, self._take_batch)
-        peers.handle(StateDigest, self._take_alone)
-        peers.handle(DaemonsKnown, self._take_known)
+        peers.handle(StateDigest, self._take_unbatched)
+        peers.handle(DaemonsKnown, self._take_known_daemons)
 
     @property
     def interval_s(self) -> float:
         """Time between two digests of this daemon."""
-        return max(INTERVAL_S, INTERVAL_PER_DAEMON_S * self._daemons)
+        return max(
+            DIGEST_INTERVAL_S, INTERVAL_PER_DAEMON_S * self._daemon_count
+        )
 
     @property
     def fresh_s(self) -> float:
-        """Age up to which a digest tells how things stand now."""
-        passing_s = 0.0 if self.is_flat else HOPS * LONGEST_FORWARD_S
-        return max(FRESH_S, 4 * self.interval_s + passing_s)
+        """Age up to which a digest counts as current."""
+        forwarding_s = 0.0 if self.is_flat else MAX_HOPS * MAX_FORWARD_PAUSE_S
+        return max(MIN_FRESH_S, 4 * self.interval_s + forwarding_s)
 
     @property
-    def _daemons(self) -> int:
+    def _daemon_count(self) -> int:
         return 1 + len(self._relays.known_by_id)
 
     @property
     def is_flat(self) -> bool:
-        """Whether so few daemons are known that all tell each other."""
-        return self._daemons <= LARGEST_GROUP
+        """Whether all daemons send to each other, without relays."""
+        return self._daemon_count <= LARGEST_GROUP
 
     @property
     def confirmed(self) -> anyio.Event:
-        """Set, and replaced by a new one, when a peer confirms more."""
+        """Set, and replaced by a new one, when a peer acknowledges more."""
         return self._confirmations.changed
 
     @property
     def acts_as_relay(self) -> bool:
-        """Whether this daemon passes on what others tell."""
+        """Whether this daemon forwards the digests of others."""
         return self._relays.acts_as_relay
 
     @property
-    def passes_on(self) -> bool:
-        """Whether news that daemons queue are queued again here.
+    def forwards_messages(self) -> bool:
+        """Whether this daemon forwards messages that others queued.
 
-        In a small site all of them have each from whoever learned it.
+        In a small site the origin sends its message to all daemons itself.
         """
         return not self.is_flat and self.acts_as_relay
 
-    def introduce(
+    def add_daemons(
         self,
         ids: Iterable[DaemonId],
         centre_by_id: Mapping[DaemonId, DataCentreName] | None = None,
         link_by_id: Mapping[DaemonId, float] | None = None,
     ) -> None:
-        """Begin to count on these daemons; known ones change nothing."""
+        """Add the addresses and places of daemons to send to."""
         centres = {} if centre_by_id is None else centre_by_id
         links = {} if link_by_id is None else link_by_id
         for id_ in ids:
-            if self._relays.note_known(
-                id_, centres.get(id_, NOWHERE), links.get(id_, 0.0)
+            if self._relays.add_daemon(
+                id_, centres.get(id_, UNKNOWN_DATA_CENTRE), links.get(id_, 0.0)
             ):
                 self._peers.set_address(id_, id_)
 
     def fresh(self) -> list[PeerState]:
-        """Return the peers whose digests are up to date."""
+        """Return the peers whose digests are current."""
         oldest = self._clock() - self.fresh_s
         return [peer for peer in self.by_id.values() if peer.heard_at > oldest]
 
     def ready(self) -> list[PeerState]:
-        """Return those of them that serve callers."""
+        """Return those fresh peers that serve callers."""
         return [
             peer for peer in self.fresh() if peer.state is MemberState.READY
         ]
 
     def is_alone(self) -> bool:
-        """Whether other daemons were heard of, and none is heard now."""
+        """Whether peers are known, and the digests of all are stale."""
         return bool(self.by_id) and not self.fresh()
 
     @property
     def next_sequence(self) -> int:
-        """Return the number of the digest that will tell what is new now."""
+        """Return the sequence number of the next digest."""
         return self._sequence + 1
 
-    def heard_by_all(self) -> int:
-        """Return the newest digest that every peer in touch has taken.
+    def acked_by_all(self) -> int:
+        """Return the newest own digest that every fresh peer acknowledged.
 
-        What was told with it, or before, is known to all of them: they say
-        so themselves, so neither a lost message nor a slow one, nor a relay
-        that has stopped, can make this daemon believe it too early.
+        All of them know its content and that of earlier ones. Only the
+        peers' own acknowledgements count, so no lost or slow message and no
+        stopped relay can make the number too high.
         """
         fresh = self.fresh()
         if not fresh:
             return self._sequence
-        return min(peer.heard_sequence for peer in fresh)
+        return min(peer.acked_sequence for peer in fresh)
 
-    def hurry(self) -> None:
-        """Tell the peers soon: something is new that they wait for."""
+    def expedite(self) -> None:
+        """Send the next digest early, since peers wait for an update."""
         interval_s = max(
-            HURRIED_INTERVAL_S, INTERVAL_PER_DAEMON_S * self._daemons / 2
+            URGENT_INTERVAL_S, INTERVAL_PER_DAEMON_S * self._daemon_count / 2
         )
-        if self._clock() - self._told_at >= interval_s:
-            self._told_at = -math.inf
+        if self._clock() - self._digest_sent_at >= interval_s:
+            self._digest_sent_at = -math.inf
             self._queued.set()
 
-    def news_age_s(self) -> float:
-        """Return the age of the oldest digest that is up to date."""
+    def oldest_digest_age_s(self) -> float:
+        """Return the age of the oldest current digest, 0 without peers."""
         oldest = min((peer.heard_at for peer in self.fresh()), default=None)
         return 0.0 if oldest is None else self._clock() - oldest
 
     def expected(self) -> int:
         """Return how many daemons may be serving, this one included.
 
-        Those that are silent count until they are given up: they may be
-        cut off from here and serve callers all the same.
+        Silent peers count until they are removed: they may be partitioned
+        from this daemon and still serve callers.
         """
         serving = (MemberState.JOINING, MemberState.READY)
         return 1 + sum(peer.state in serving for peer in self.by_id.values())
 
     async def run(self) -> None:
-        """Tell the peers until cancelled."""
+        """Exchange digests with the peers until cancelled."""
         while True:
             await self.tick()
             pause_s = self.pause_s() * self._rng.uniform(0.9, 1.1)
@@ -262,37 +267,43 @@
             await self._send_queued()
 
     async def tick(self) -> None:
-        """Tell what is due, pass on what is new, and look who is silent."""
-        is_due = self._clock() - self._told_at >= DUE_SHARE * self.interval_s
-        await self._tell(has_news=is_due)
-        self._look_for_silence()
+        """Send what is due, forward new digests, and check for silence."""
+        is_due = (
+            self._clock() - self._digest_sent_at >= DUE_SHARE * self.interval_s
+        )
+        await self._send_digests(is_digest_due=is_due)
+        self._check_silence()
         self._forget_silent()
 
     def queue(self, message: Message) -> None:
-        """Have a message passed on to every known daemon at once."""
+        """Send a message to every known daemon, without waiting for a tick."""
         self._queue.append(message)
         self._queued.set()
 
     async def tell(self) -> None:
-        """Tell how things stand here, to whom it concerns."""
-        await self._tell(has_news=True)
+        """Send a digest of this daemon now."""
+        await self._send_digests(is_digest_due=True)
 
     def pause_s(self) -> float:
-        """Return the time until there is something to do again."""
+        """Return the time until the next tick."""
         if self.is_flat:
             return self.interval_s
-        forward_s = max(FORWARD_S, FORWARD_PER_PEER_S * self._told)
-        return min(self.interval_s, forward_s, LONGEST_FORWARD_S)
-
-    async def _tell(self, *, has_news: bool) -> None:
-        self._relays.answer_s = max(ANSWER_S, 3 * self.interval_s)
-        told = self._relays.choose()
-        self._told = len(told)
-        if has_news:
-            self._told_at = self._clock()
-            await self._tell_plain(self._write())
+        forward_s = max(
+            MIN_FORWARD_PAUSE_S, FORWARD_PAUSE_PER_PEER_S * self._target_count
+        )
+        return min(self.interval_s, forward_s, MAX_FORWARD_PAUSE_S)
+
+    async def _send_digests(self, *, is_digest_due: bool) -> None:
+        self._relays.answer_timeout_s = max(
+            ANSWER_TIMEOUT_S, 3 * self.interval_s
+        )
+        targets = self._relays.choose_targets()
+        self._target_count = len(targets)
+        if is_digest_due:
+            self._digest_sent_at = self._clock()
+            await self._send_unbatched(self._write_digest())
         members = list(self._relays.members())
-        for id_ in told:
+        for id_ in targets:
             batch = self._batch_for(id_, members)
             if batch is not None:
                 await self._peers.notify(id_, batch)
@@ -302,21 +313,21 @@
         self._queued = anyio.Event()
         if not queue:
             return
-        for id_ in self._relays.choose():
+        for id_ in self._relays.choose_targets():
             for message in queue:
                 await self._peers.notify(id_, message)
 
-    async def _tell_plain(self, digest: StateDigest) -> None:
-        if not self._plain:
+    async def _send_unbatched(self, digest: StateDigest) -> None:
+        if not self._unbatched_ids:
             return
         digest.heard = [
             DigestHeard(lifetime=peer.lifetime, sequence=peer.sequence)
             for peer in self.fresh()
         ]
-        for id_ in self._plain:
+        for id_ in self._unbatched_ids:
             await self._peers.notify(id_, digest)
 
-    def _write(self) -> StateDigest:
+    def _write_digest(self) -> StateDigest:
         self._sequence += 1
         digest = StateDigest(
             address=self.place.id,
@@ -331,8 +342,8 @@
         )
         for part in self.parts:
             part.write(digest)
-        self._news.entries.append(
-            Encoded(
+        self._own_digests.entries.append(
+            EncodedDigest(
                 sequence=self._sequence,
                 data=encode(digest, EnvelopeType.ONEWAY, 0),
             )
@@ -342,12 +353,12 @@
     def _batch_for(
         self, id_: DaemonId, members: list[DaemonId]
     ) -> StateBatch | None:
-        """Return what is new to a daemon, None if nothing is."""
+        """Return a batch of what is new to a daemon, None if nothing is."""
         relays = self._relays
         batch = StateBatch(lifetime=self.lifetime)
         batch.is_member = id_ in relays.uplinks
-        news = self._news_for(id_, members)
-        if not relays.neighbour(id_).fill(batch, news):
+        digests = self._digests_for(id_, members)
+        if not relays.neighbour(id_).fill(batch, digests):
             return None
         if not batch.is_member:
             batch.confirmed.append(
@@ -359,15 +370,16 @@
             )
         return batch
 
-    def _news_for(
+    def _digests_for(
         self, id_: DaemonId, members: list[DaemonId]
-    ) -> Iterable[News]:
-        """Return what a daemon is to be told of, besides what it told.
+    ) -> Iterable[RecentDigests]:
+        """Yield the digests to send to a daemon, new to it or not.
 
-        Members are told everything, other relays of this daemon's members,
-        and its own relay of all that did not come from there.
+        A member gets the digests of all daemons, another relay those of
+        this daemon's members, and the own relay all that did not come from
+        an uplink. No daemon gets digests of its own or digests that it sent.
         """
-        yield self._news
+        yield self._own_digests
         uplinks = self._relays.uplinks
         for peer in self.by_id.values():
             if peer.via == id_ or peer.place.id == id_:
@@ -377,12 +389,12 @@
                 if id_ in uplinks
                 else peer.via in members
             ):
-                yield peer.news
+                yield peer.digests
 
     async def _take_batch(self, sender: DaemonId, batch: StateBatch) -> None:
         if batch.lifetime in self._ended:
             return
-        self.introduce([sender])
+        self.add_daemons([sender])
         neighbour = self._relays.neighbour(sender)
         is_new = neighbour.lifetime != batch.lifetime
         neighbour.take(batch, own_lifetime=self.lifetime)
@@ -393,15 +405,17 @@
             self._take_data(data, sender)
         self._confirmations.take(sender, neighbour, batch)
         if is_new:
-            await self._tell_known(sender)
+            await self._send_known_daemons(sender)
 
-    async def _take_alone(self, sender: DaemonId, digest: StateDigest) -> None:
-        """Take a digest of a daemon that knows nothing of batches yet."""
+    async def _take_unbatched(
+        self, sender: DaemonId, digest: StateDigest
+    ) -> None:
+        """Take a digest of a daemon whose version has no batches."""
         if digest.address != sender or digest.lifetime in self._ended:
             return
-        is_new = sender not in self._plain
-        self._plain[sender] = None
-        self.introduce([sender])
+        is_new = sender not in self._unbatched_ids
+        self._unbatched_ids[sender] = None
+        self.add_daemons([sender])
         self._take(digest, encode(digest, EnvelopeType.ONEWAY, 0), sender)
         peer = self.by_id.get(sender)
         for heard in digest.heard:
@@ -409,7 +423,7 @@
                 self._confirmations.note_heard(peer, heard.sequence)
         self._confirmations.wake_waiters()
         if is_new:
-            await self._tell_known(sender)
+            await self._send_known_daemons(sender)
 
     def _take_data(self, data: bytes, via: DaemonId) -> None:
         found = decode(data)
@@ -421,54 +435,58 @@
 
     def _take(self, digest: StateDigest, data: bytes, via: DaemonId) -> None:
         id_ = DaemonId(digest.address)
-        known = self.by_id.get(id_)
+        peer = self.by_id.get(id_)
         if digest.lifetime in self._ended:
             return
-        if known is None or known.lifetime != digest.lifetime:
-            known = self._begin(id_, digest, known, via)
-        elif digest.sequence <= known.sequence:
+        if peer is None or peer.lifetime != digest.lifetime:
+            peer = self._start_process(id_, digest, peer, via)
+        elif digest.sequence <= peer.sequence:
             return
-        known.via = via
-        known.news.entries.append(Encoded(sequence=digest.sequence, data=data))
-        known.state = state_of(digest)
-        known.heard_at = self._clock()
-        known.sequence = digest.sequence
-        known.lease_fencing = digest.lease_fencing
-        known.lease_ended_version = digest.lease_ended_version
-        known.configuration_version = digest.configuration_version
-        known.is_relay = digest.is_relay
-        known.reads_tables = digest.reads_tables
+        peer.via = via
+        peer.digests.entries.append(
+            EncodedDigest(sequence=digest.sequence, data=data)
+        )
+        peer.state = state_of(digest)
+        peer.heard_at = self._clock()
+        peer.sequence = digest.sequence
+        peer.lease_fencing = digest.lease_fencing
+        peer.lease_ended_version = digest.lease_ended_version
+        peer.configuration_version = digest.configuration_version
+        peer.is_relay = digest.is_relay
+        peer.reads_tables = digest.reads_tables
         for part in self.parts:
-            part.take(known, digest)
+            part.take(peer, digest)
 
-    def _begin(
+    def _start_process(
         self,
         id_: DaemonId,
         digest: StateDigest,
-        before: PeerState | None,
+        previous: PeerState | None,
         via: DaemonId,
     ) -> PeerState:
         log.info('peer_heard', peer=id_, lifetime=digest.lifetime, via=via)
-        if before is not None:
-            # News of the process before may still be under way elsewhere;
-            # taken, they would make its counters count a second time.
-            self._ended[before.lifetime] = None
-            if len(self._ended) > KEPT_ENDED:
+        if previous is not None:
+            # Digests of the earlier process may still be in transit. If they
+            # were accepted, its counters would be counted twice.
+            self._ended[previous.lifetime] = None
+            if len(self._ended) > MAX_ENDED_LIFETIMES:
                 del self._ended[next(iter(self._ended))]
         place = place_of(digest)
-        self.introduce([id_], {id_: place.data_centre}, {id_: place.link_mbps})
+        self.add_daemons(
+            [id_], {id_: place.data_centre}, {id_: place.link_mbps}
+        )
         peer = self.by_id[id_] = PeerState(
             place=place,
             lifetime=digest.lifetime,
             state=MemberState.JOINING,
             heard_at=self._clock(),
             via=via,
-            news=News(lifetime=digest.lifetime),
+            digests=RecentDigests(lifetime=digest.lifetime),
         )
         return peer
 
-    async def _tell_known(self, id_: DaemonId) -> None:
-        """Tell a process that is heard for the first time who is there."""
+    async def _send_known_daemons(self, id_: DaemonId) -> None:
+        """Send the known daemons to a process that is new here."""
         others = {
             each: known
             for each, known in self._relays.known_by_id.items()
@@ -487,13 +505,13 @@
         for listener in self.on_joined:
             await listener(id_)
 
-    async def _take_known(
+    async def _take_known_daemons(
         self, sender: DaemonId, message: DaemonsKnown
     ) -> None:
         ids = [DaemonId(address) for address in message.addresses]
         centres = map(DataCentreName, message.data_centres)
         links = dict(zip(ids, message.links_mbps, strict=False))
-        self.introduce(ids, dict(zip(ids, centres, strict=False)), links)
+        self.add_daemons(ids, dict(zip(ids, centres, strict=False)), links)
 
     def _is_fresh(self, id_: DaemonId) -> bool:
         peer = self.by_id.get(id_)
@@ -504,31 +522,32 @@
         peer = self.by_id.get(id_)
         return peer is not None and peer.is_relay
 
-    def _look_for_silence(self) -> None:
-        """Notice when every neighbour has fallen silent at once.
+    def _check_silence(self) -> None:
+        """Detect that all neighbours have fallen silent at once.
 
-        Open connections can stop to deliver without a reset, while new ones
-        work. A request sent on a kept one then runs, and its answer never
-        comes; nothing but the silence of all peers tells so in time.
+        Open connections can stop delivering without a reset, while new ones
+        work. A request sent on a kept-alive connection then runs, but its
+        answer never arrives. Only the silence of all peers shows that in
+        time.
         """
         neighbours = [
             neighbour
             for neighbour in self._relays.neighbours_by_id.values()
             if neighbour.heard_at is not None
         ]
-        silence_s = longest_silence(neighbours, self._clock())
-        is_silent = (
-            len(neighbours) >= FEWEST_SILENT
+        silence_s = shared_silence_s(neighbours, self._clock())
+        are_all_silent = (
+            len(neighbours) >= MIN_SILENT_PEERS
             and silence_s > SILENT_INTERVALS * self.interval_s
         )
-        if is_silent and not self._is_silent:
+        if are_all_silent and not self._are_all_silent:
             log.warning('peers_silent', peers=len(neighbours))
             for listener in self.on_silence:
                 listener()
-        self._is_silent = is_silent
+        self._are_all_silent = are_all_silent
 
     def _forget_silent(self) -> None:
-        oldest = self._clock() - GONE_S
+        oldest = self._clock() - FORGET_AFTER_S
         for id_, known in tuple(self._relays.known_by_id.items()):
             peer = self.by_id.get(id_)
             if (known.since if peer is None else peer.heard_at) > oldest:
@@ -536,7 +555,7 @@
             log.info('peer_forgotten', peer=id_)
             self._relays.forget(id_)
             self._confirmations.forget(id_)
-            self._plain.pop(id_, None)
+            self._unbatched_ids.pop(id_, None)
             self.by_id.pop(id_, None)
             self._peers.forget(id_)
             for listener in self.on_forgotten:
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/relays.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/relays.py
@@ -1,77 +1,94 @@
-"""Whom a daemon tells how things stand: relays, its own members, or all."""
+"""Chooses the daemons that a daemon sends its digests to.
+
+A member of a group sends to the group's relay. A relay sends to the members
+that use it, and to the relays of other groups. In a site of a dozen daemons
+or fewer, each sends to all others.
+"""
 
 import math
 from collections.abc import Callable, Iterable, Mapping
 from dataclasses import dataclass, field, replace
 
 from mimosamux_daemon.domain.names import DaemonId, DataCentreName
-from mimosamux_daemon.gateway.groups import NOWHERE, Groups, form_groups
+from mimosamux_daemon.gateway.groups import (
+    UNKNOWN_DATA_CENTRE,
+    Groups,
+    form_groups,
+)
 from mimosamux_daemon.gateway.neighbours import Neighbour
 
-ANSWER_S = 1.0
-"""Silence after which a relay is left for the next one of its group; at the
-least, and three intervals of the exchange: its answer may be under way."""
-TRIED_AT_ONCE = 2
-"""Relays of the own group told at a time: one that may not answer any more,
-and the next, so that nothing is told late while the first is waited for."""
-LEFT_S = 10.0
-"""Time for which a relay that did not answer is left alone: one that only
-this daemon cannot reach would otherwise be tried again at once."""
-NUMBERS_PER_S = 1000
-"""More than the batches that go to one daemon in a second."""
-HANGS_ON_S = 3.0
-"""Time for which a relay serves a member that tells nothing; at the least,
-and three intervals: what the member tells may be under way."""
+ANSWER_TIMEOUT_S = 1.0
+"""Time without an answer after which the next daemon of the group is used
+as the relay. A lower bound; at least three digest intervals, since an answer
+may be in transit."""
+MAX_UPLINKS = 2
+"""Relays of its group that a member sends to at once: one that may have
+failed, and the next, so that no digest is late while the first is in doubt."""
+SKIP_S = 10.0
+"""Time for which a relay that did not answer is skipped. Other daemons may
+still reach it and forward its digests, so it would seem alive and would be
+tried again at once."""
+BATCH_NUMBERS_PER_S = 1000
+"""Upper bound of the batches sent to one daemon in a second. Times the
+clock's reading, it gives a batch number above all earlier ones."""
+MEMBERSHIP_S = 3.0
+"""Time for which a relay sends to a member without receiving a batch from
+it. A lower bound; at least three times the answer time-out, since a batch may
+be in transit."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Known:
-    """A daemon that was heard of, whether or not it ever told anything."""
+class KnownDaemon:
+    """A daemon whose address is known, even if no digest of it arrived."""
 
     since: float
+    """When it became known, on the monotonic clock."""
     data_centre: DataCentreName
     link_mbps: float = 0.0
-    """Bandwidth of its VM's link, 0: not known."""
+    """Bandwidth of its VM's link in Mbit/s, 0: unknown."""
 
 
 @dataclass(kw_only=True, slots=True)
 class Relays:
-    """Chooses whom to tell, from what is heard.
+    """Chooses relays and members from the messages received.
 
-    Nothing is agreed on. A daemon tells the first of its group that
-    answers; whoever is told by members passes on what they tell. Two relays
-    in one group cost messages, none costs time until the next is tried.
+    There is no election. A member sends to the first daemon of its group
+    that answers, and a daemon that members send to acts as their relay. Two
+    relays in one group cost extra messages; a group without a relay gets
+    digests late, until its members try the next daemon.
     """
 
     own_id: DaemonId
     clock: Callable[[], float]
     is_fresh: Callable[[DaemonId], bool]
-    """Whether a daemon's news are up to date, whoever passed them on."""
+    """Whether a daemon's newest digest is up to date, also if relayed."""
     is_relay: Callable[[DaemonId], bool]
-    """Whether a daemon tells that it is a relay."""
+    """Whether a daemon's newest digest says that it acts as a relay."""
     own_centre: DataCentreName
     own_link_mbps: float = 0.0
-    known_by_id: dict[DaemonId, Known] = field(default_factory=dict)
+    known_by_id: dict[DaemonId, KnownDaemon] = field(default_factory=dict)
     neighbours_by_id: dict[DaemonId, Neighbour] = field(default_factory=dict)
     uplinks: tuple[DaemonId, ...] = ()
-    """Relays that this daemon hangs on; none if it is one itself."""
-    answer_s: float = ANSWER_S
+    """Relays that this daemon sends to; none if it is the relay itself."""
+    answer_timeout_s: float = ANSWER_TIMEOUT_S
     _groups: Groups | None = None
-    _turn: int = 0
+    _round: int = 0
 
     @property
     def acts_as_relay(self) -> bool:
-        """Whether this daemon passes news on."""
+        """Whether this daemon forwards the digests of others."""
         return not self.uplinks or any(True for _ in self.members())
 
-    def note_known(
+    def add_daemon(
         self, id_: DaemonId, centre: DataCentreName, link_mbps: float = 0.0
     ) -> bool:
-        """Note a daemon, or where it is; False if it was known before."""
+        """Add a daemon or update its place; return whether it is new."""
         if id_ == self.own_id:
             return False
         known = self.known_by_id.get(id_)
-        before = known or Known(since=self.clock(), data_centre=NOWHERE)
+        before = known or KnownDaemon(
+            since=self.clock(), data_centre=UNKNOWN_DATA_CENTRE
+        )
         found = replace(
             before,
             data_centre=centre or before.data_centre,
@@ -84,51 +101,51 @@
         return known is None
 
     def forget(self, id_: DaemonId) -> None:
-        """Forget a daemon that is gone."""
+        """Remove a daemon that is gone."""
         self.known_by_id.pop(id_, None)
         self.neighbours_by_id.pop(id_, None)
         self._groups = None
 
     def neighbour(self, id_: DaemonId) -> Neighbour:
-        """Return the exchange with a daemon that is told directly."""
+        """Return the exchange with a directly connected daemon."""
         found = self.neighbours_by_id.get(id_)
         if found is None:
-            first = int(self.clock() * NUMBERS_PER_S)
-            found = Neighbour(number=first)
+            first = int(self.clock() * BATCH_NUMBERS_PER_S)
+            found = Neighbour(sent_batch=first)
             self.neighbours_by_id[id_] = found
         return found
 
     def members(self) -> Iterable[DaemonId]:
-        """Return the daemons that hang on this one."""
+        """Yield the daemons that use this one as their relay."""
         now = self.clock()
         for id_, neighbour in self.neighbours_by_id.items():
-            if neighbour.hangs_on_until > now:
+            if neighbour.member_until > now:
                 yield id_
 
     def note_member(self, neighbour: Neighbour) -> None:
-        """Serve a daemon that takes this one for its relay, for a while."""
-        lasts_s = max(HANGS_ON_S, 3 * self.answer_s)
-        neighbour.hangs_on_until = self.clock() + lasts_s
+        """Count a daemon as a member of this relay for a limited time."""
+        membership_s = max(MEMBERSHIP_S, 3 * self.answer_timeout_s)
+        neighbour.member_until = self.clock() + membership_s
 
-    def choose(self) -> list[DaemonId]:
-        """Return whom to tell now."""
-        self._turn += 1
+    def choose_targets(self) -> list[DaemonId]:
+        """Choose the uplinks anew and return all daemons to send to."""
+        self._round += 1
         self.uplinks = self._choose_uplinks()
-        told = dict.fromkeys([*self.uplinks, *self.members()])
+        targets = dict.fromkeys([*self.uplinks, *self.members()])
         if self.acts_as_relay:
-            told.update(dict.fromkeys(self._own_group_relays()))
-            for group in self._formed().others(self.own_id):
-                told.update(dict.fromkeys(self._relays_of(group)))
-        return list(told)
+            targets.update(dict.fromkeys(self._other_relays()))
+            for group in self._current_groups().others(self.own_id):
+                targets.update(dict.fromkeys(self._choose_in_group(group)))
+        return list(targets)
 
-    def _own_group_relays(self) -> Iterable[DaemonId]:
-        """Return who else passes news on for the own group.
+    def _other_relays(self) -> Iterable[DaemonId]:
+        """Yield the other relays of this daemon's group.
 
-        After the loss of a relay its members may hang on two others for a
-        while. Told nothing of each other, one part of the group would be
-        unknown to the other.
+        After the loss of a relay, its members may use two different relays
+        for a while. If these two did not exchange digests, each part of the
+        group would get no digests of the other.
         """
-        for id_ in self._formed().of(self.own_id):
+        for id_ in self._current_groups().of(self.own_id):
             if (
                 id_ != self.own_id
                 and self.is_relay(id_)
@@ -136,7 +153,7 @@
             ):
                 yield id_
 
-    def _formed(self) -> Groups:
+    def _current_groups(self) -> Groups:
         if self._groups is None:
             centre_by_id: Mapping[DaemonId, DataCentreName] = {
                 self.own_id: self.own_centre
@@ -151,47 +168,49 @@
         return self._groups
 
     def _choose_uplinks(self) -> tuple[DaemonId, ...]:
-        """Return the relay that answers, and any before it still tried."""
+        """Return the relay that answers, and one before it still in doubt."""
         chosen: list[DaemonId] = []
-        for id_ in self._formed().of(self.own_id):
+        for id_ in self._current_groups().of(self.own_id):
             if id_ == self.own_id:
                 break
-            if not self._may_answer(id_):
+            if not self._is_usable(id_):
                 continue
             chosen.append(id_)
-            if self._has_answered(id_) or len(chosen) == TRIED_AT_ONCE:
+            if self._has_answered(id_) or len(chosen) == MAX_UPLINKS:
                 break
         for id_, neighbour in self.neighbours_by_id.items():
             if id_ not in chosen:
-                # It is not told any more, so its silence says nothing.
-                neighbour.asked_at = None
+                # Nothing is sent to it, so it owes no answer.
+                neighbour.awaiting_since = None
         return tuple(chosen)
 
-    def _may_answer(self, id_: DaemonId) -> bool:
-        """Whether to tell a relay: it answers, or may still begin to."""
+    def _is_usable(self, id_: DaemonId) -> bool:
+        """Whether to send to a relay: it answers, or its time-out runs."""
         now, neighbour = self.clock(), self.neighbour(id_)
-        if now < neighbour.left_until:
+        if now < neighbour.skipped_until:
             return False
         if self._has_answered(id_):
-            neighbour.asked_at = None
+            neighbour.awaiting_since = None
             return True
-        if neighbour.left_until and not self.is_fresh(id_):
+        if neighbour.skipped_until and not self.is_fresh(id_):
             return False
-        if neighbour.asked_at is None:
-            neighbour.asked_at = now
-        if now - neighbour.asked_at < self.answer_s:
+        if neighbour.awaiting_since is None:
+            neighbour.awaiting_since = now
+        if now - neighbour.awaiting_since < self.answer_timeout_s:
             return True
-        neighbour.asked_at = None
-        neighbour.left_until = now + LEFT_S
+        neighbour.awaiting_since = None
+        neighbour.skipped_until = now + SKIP_S
         return False
 
     def _has_answered(self, id_: DaemonId) -> bool:
         heard_at = self.neighbour(id_).heard_at
-        oldest = self.clock() - self.answer_s
+        oldest = self.clock() - self.answer_timeout_s
         return heard_at is not None and heard_at > oldest
 
-    def _relays_of(self, group: tuple[DaemonId, ...]) -> tuple[DaemonId, ...]:
-        """Return who of another group is told."""
+    def _choose_in_group(
+        self, group: tuple[DaemonId, ...]
+    ) -> tuple[DaemonId, ...]:
+        """Return the daemons of another group to send to."""
         if len(group) == 1:
             return group
         relays = [
@@ -199,12 +218,16 @@
         ]
         if relays:
             return tuple(relays)
-        # Nobody there is known to pass news on: cut off, all gone, or not
-        # heard of yet. Asked in turn, the first that is reached tells who.
-        return (group[self._turn % len(group)],)
+        # No relay of the group is known: the group is cut off or gone, or no
+        # digest of it has arrived. Its daemons are tried in rotation; the
+        # first one that is reached sends the group's digests.
+        return (group[self._round % len(group)],)
 
 
-def longest_silence(neighbours: Iterable[Neighbour], now: float) -> float:
-    """Return the time since any of them was heard, infinite: never."""
+def shared_silence_s(neighbours: Iterable[Neighbour], now: float) -> float:
+    """Return the time since the last batch of any of them arrived.
+
+    It is infinite if none ever arrived.
+    """
     heard = [each.heard_at for each in neighbours if each.heard_at is not None]
     return now - max(heard) if heard else math.inf
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/rollout_exchange.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/rollout_exchange.py
@@ -51,7 +51,7 @@
         is_news |= self.rollouts.take_share(
             rollout, message.word, message.share
         )
-        if is_news and self.states.passes_on:
+        if is_news and self.states.forwards_messages:
             self.states.queue(message)
 
 
--- a/tests/support/daemon_model.py
+++ b/tests/support/daemon_model.py
@@ -49,7 +49,7 @@
     def start(self, number):
         daemon = Daemon(self, number)
         others = [each for each in range(self.count) if each != number]
-        daemon.states.introduce(
+        daemon.states.add_daemons(
             [DaemonId(str(each)) for each in others],
             {DaemonId(str(each)): self.centre_of(each) for each in others},
         )
--- a/tests/test_gateway_crash_exchange.py
+++ b/tests/test_gateway_crash_exchange.py
@@ -22,7 +22,7 @@
 
 class FakeStates:
     is_flat = True
-    passes_on = False
+    forwards_messages = False
 
     def __init__(self):
         self.queued = []
@@ -123,7 +123,7 @@
     """A relay: what it queues goes to every other one."""
 
     is_flat = False
-    passes_on = True
+    forwards_messages = True
 
     def __init__(self, number, fleet):
         super().__init__()
--- a/tests/test_gateway_rate_shares.py
+++ b/tests/test_gateway_rate_shares.py
@@ -63,7 +63,7 @@
     def ready(self):
         return self._peers
 
-    def hurry(self):
+    def expedite(self):
         pass
 
 
--- a/tests/test_gateway_relays.py
+++ b/tests/test_gateway_relays.py
@@ -11,10 +11,10 @@
 from mimosamux_daemon.gateway import peer_states
 from mimosamux_daemon.gateway.groups import LARGEST_GROUP, form_groups
 from mimosamux_daemon.gateway.neighbours import (
-    BEHIND,
-    Encoded,
+    MAX_UNACKED_BATCHES,
+    EncodedDigest,
     Neighbour,
-    News,
+    RecentDigests,
 )
 from mimosamux_wire import (
     DaemonsKnown,
@@ -145,7 +145,7 @@
                 fleet.pass_s(8)
                 self.assertEqual(fleet.least_fresh(), daemons - 1)
                 for daemon in fleet.daemons:
-                    self.assertGreater(daemon.states.heard_by_all(), 0)
+                    self.assertGreater(daemon.states.acked_by_all(), 0)
 
     def test_messages_do_not_grow_with_the_pairs(self):
         """At sixty daemons each would send to each other one."""
@@ -169,7 +169,7 @@
                 fleet.pass_s(12)
                 for daemon in fleet.daemons:
                     states = daemon.states
-                    behind = states.next_sequence - states.heard_by_all()
+                    behind = states.next_sequence - states.acked_by_all()
                     self.assertLess(behind * states.interval_s, 2.0)
 
     def test_relays_that_die_one_after_the_other_are_replaced(self):
@@ -257,14 +257,14 @@
             if not each.states._relays.acts_as_relay
         )
         reached = {
-            peer.place.id: peer.heard_sequence
+            peer.place.id: peer.acked_sequence
             for peer in fleet.daemons[0].states.by_id.values()
         }[deaf.states.place.id]
         fleet.cuts = {(each, deaf.number) for each in range(24)}
         fleet.pass_s(5)
         known = fleet.daemons[0].states.by_id[deaf.states.place.id]
         # What it took in the second before the cut may be confirmed late.
-        self.assertLessEqual(known.heard_sequence, reached + INTERVAL_STEPS)
+        self.assertLessEqual(known.acked_sequence, reached + INTERVAL_STEPS)
 
 
 class TestNonsense(unittest.TestCase):
@@ -276,7 +276,7 @@
 
     def describe(self):
         return {
-            id_: (peer.lifetime, peer.state, peer.heard_sequence)
+            id_: (peer.lifetime, peer.state, peer.acked_sequence)
             for id_, peer in self.daemon.states.by_id.items()
         }
 
@@ -338,11 +338,11 @@
     """What is said to be taken was taken, whatever got lost between."""
 
     def setUp(self):
-        self.sender = Neighbour(number=0)
-        self.receiver = Neighbour(number=0)
-        self.news = [News(lifetime=11), News(lifetime=22)]
+        self.sender = Neighbour(sent_batch=0)
+        self.receiver = Neighbour(sent_batch=0)
+        self.news = [RecentDigests(lifetime=11), RecentDigests(lifetime=22)]
         for news in self.news:
-            news.entries.append(Encoded(sequence=1, data=b'1'))
+            news.entries.append(EncodedDigest(sequence=1, data=b'1'))
         self.sender.take(StateBatch(lifetime=2), own_lifetime=1)
 
     def send(self, *news, is_lost=False):
@@ -353,14 +353,16 @@
     def answer(self):
         self.sender.take(
             StateBatch(
-                lifetime=2, taken_lifetime=1, taken=self.receiver.taken
+                lifetime=2,
+                taken_lifetime=1,
+                taken=self.receiver.received_batch,
             ),
             own_lifetime=1,
         )
 
     def tell_more(self, news):
-        number = news.newest + 1
-        news.entries.append(Encoded(sequence=number, data=b'more'))
+        number = news.newest_sequence + 1
+        news.entries.append(EncodedDigest(sequence=number, data=b'more'))
 
     def test_batch_behind_a_lost_one_confirms_nothing(self):
         """The second of three batches is lost; it alone told of one daemon."""
@@ -370,7 +372,7 @@
         self.tell_more(self.news[0])
         self.send(*self.news)
         self.answer()
-        self.assertEqual(self.sender.has(22), 1)
+        self.assertEqual(self.sender.acked_sequence(22), 1)
 
     def test_complete_batch_confirms_only_what_it_holds(self):
         """A daemon is told of by another way since a batch was lost."""
@@ -378,16 +380,16 @@
         self.tell_more(self.news[0])
         self.send(self.news[0])
         self.answer()
-        self.assertEqual(self.sender.has(11), 2)
-        self.assertEqual(self.sender.has(22), 0)
+        self.assertEqual(self.sender.acked_sequence(11), 2)
+        self.assertEqual(self.sender.acked_sequence(22), 0)
 
     def test_receiver_that_fell_behind_is_sent_all_anew(self):
         self.send(*self.news, is_lost=True)
-        for _ in range(BEHIND + 2):
+        for _ in range(MAX_UNACKED_BATCHES + 2):
             self.tell_more(self.news[0])
             self.send(*self.news)
             self.answer()
-        self.assertEqual(self.sender.has(22), 1)
+        self.assertEqual(self.sender.acked_sequence(22), 1)
 
 
 class TestMixedVersions(unittest.TestCase):
--- a/tests/test_gateway_restarts.py
+++ b/tests/test_gateway_restarts.py
@@ -17,7 +17,7 @@
 )
 from mimosamux_daemon.gateway.endpoint_reports import EndpointReports
 from mimosamux_daemon.gateway.leaving_exchange import LeavingExchange
-from mimosamux_daemon.gateway.neighbours import News
+from mimosamux_daemon.gateway.neighbours import RecentDigests
 from mimosamux_daemon.gateway.peer_states import (
     DaemonPlace,
     MemberState,
@@ -77,7 +77,7 @@
         state=MemberState.READY,
         heard_at=0.0,
         via=PEER,
-        news=News(lifetime=1),
+        digests=RecentDigests(lifetime=1),
     )
 
 
