--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/configuration.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/configuration.py
@@ -1,4 +1,4 @@
-"""The configuration in force, and up to when it is known as the newest."""
+"""Holds the configuration in force, and when it was last confirmed."""
 
 import math
 from collections.abc import Callable
@@ -15,37 +15,37 @@
 
 
 class ConfirmedConfiguration:
-    """Holds the newest configuration; its version only goes up."""
+    """The newest known configuration; its version only increases."""
 
     def __init__(self, *, clock: Callable[[], float]) -> None:
         self.current = GatewayConfiguration()
         self.data = b''
-        """Document of the current version, as peers are given it."""
+        """Encoded document of the current version, as sent to peers."""
         self.changed = anyio.Event()
-        """Set, and replaced by a new one, with each new version."""
+        """Set, and replaced by a new event, with each new version."""
         self._clock = clock
         self._confirmed_at = -math.inf
 
     @property
     def age_s(self) -> float:
-        """Return the time since no newer version was known to exist.
+        """Return the time since the current version was confirmed newest.
 
-        A key that operators took away stays valid here until the next
-        look at the platform. Without this age, a daemon that is cut off
-        would honour it for as long as the cut lasts.
+        A revoked key stays valid here until the daemon learns of the newer
+        version. Without a limit on this age, a partitioned daemon would
+        accept the key for as long as the partition lasts.
         """
         return self._clock() - self._confirmed_at
 
     def confirm(self, version: int, at: float) -> None:
-        """Note that `version` was the newest at a moment in the past."""
+        """Note that `version` was the newest at the time `at`."""
         if version == self.current.version:
             self._confirmed_at = max(self._confirmed_at, at)
 
     def take(self, document: ConfigurationDocument, *, source: str) -> bool:
-        """Put a newer version in force; an older one changes nothing.
+        """Put a newer version in force; return whether it is newer.
 
-        Nothing that an operator took back may come into force again,
-        whoever tells of it late.
+        Older versions are ignored: a late message must not bring back what
+        an operator has withdrawn.
         """
         configuration = document.configuration
         if configuration.version <= self.current.version:
@@ -58,8 +58,8 @@
         )
         self.current = configuration
         self.data = document.data
-        # The moment of the last confirmation stays: where the older
-        # version was the newest, there was none above this one either.
+        # The time of the last confirmation stays: while the older version
+        # was the newest, no version newer than this one existed either.
         self.changed.set()
         self.changed = anyio.Event()
         return True
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/demand.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/demand.py
@@ -41,7 +41,7 @@
     reported_by_peer: dict[DaemonId, tuple[int, int]] = field(
         default_factory=dict
     )
-    """Lifetime of each peer, and its total busy time in milliseconds."""
+    """Incarnation of each peer, and its total busy time in milliseconds."""
 
 
 class Demand:
@@ -102,10 +102,10 @@
         self._advance()
         for demand in digest.demands:
             history = self._history(ServiceName(demand.service))
-            lifetime, before = history.reported_by_peer.get(
+            incarnation, before = history.reported_by_peer.get(
                 peer.place.id, (peer.lifetime, demand.busy_ms)
             )
-            if lifetime != peer.lifetime:
+            if incarnation != peer.lifetime:
                 before = 0
             history.reported_by_peer[peer.place.id] = (
                 peer.lifetime,
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/events.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/events.py
@@ -1,4 +1,4 @@
-"""Server-sent events: cut into whole ones, and their ids."""
+"""Splits a stream of server-sent events (SSE) into complete events."""
 
 from dataclasses import dataclass
 
@@ -7,49 +7,49 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class WholeEvents:
-    """One or more whole events, as their bytes came."""
+class CompleteEvents:
+    """One or more complete events, as received."""
 
     data: bytes
     count: int
     last_id: str | None
-    """Id of the last event that has one."""
+    """Id of the last event that has one, None if none has."""
 
 
 class EventSplitter:
-    """Cuts a stream of bytes behind each event.
+    """Buffers incomplete events of one stream.
 
-    An endpoint can stop in the middle of an event. Passed on, the piece
-    could not be taken back, and the stream that goes on elsewhere would
-    begin with that event once more.
+    An endpoint can stop in the middle of an event. If the fragment were
+    forwarded it could not be recalled, and the stream that continues at
+    another endpoint would begin with the same event again.
     """
 
     def __init__(self) -> None:
-        self._rest = b''
+        self._partial = b''
 
     @property
-    def has_rest(self) -> bool:
-        """Whether the beginning of an event is held back."""
-        return bool(self._rest)
+    def has_partial(self) -> bool:
+        """Whether the beginning of an event is buffered."""
+        return bool(self._partial)
 
-    def feed(self, data: bytes) -> WholeEvents | None:
-        """Return the events that are whole now, None if there are none."""
-        data = self._rest + data
+    def feed(self, data: bytes) -> CompleteEvents | None:
+        """Add data; return the events that it completes, None if none."""
+        data = self._partial + data
         end = data.rfind(EVENT_END)
         if end < 0:
-            self._rest = data
+            self._partial = data
             return None
         end += len(EVENT_END)
-        whole, self._rest = data[:end], data[end:]
-        return WholeEvents(
-            data=whole,
-            count=whole.count(EVENT_END),
-            last_id=_find_last_id(whole),
+        complete, self._partial = data[:end], data[end:]
+        return CompleteEvents(
+            data=complete,
+            count=complete.count(EVENT_END),
+            last_id=_find_last_id(complete),
         )
 
 
-def _find_last_id(whole: bytes) -> str | None:
-    for line in reversed(whole.split(b'\n')):
+def _find_last_id(complete: bytes) -> str | None:
+    for line in reversed(complete.split(b'\n')):
         if line.startswith(ID_FIELD):
             return line[len(ID_FIELD) :].strip().decode('latin-1')
     return None
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/feed_reader.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/feed_reader.py
@@ -1,4 +1,9 @@
-"""Keeps up with one table of the platform, by itself or through others."""
+"""Replicates one table of the platform's store.
+
+The reader follows the table by long polling, or receives its changes as news
+from the daemon that reads the table for the others (`table_sharing`). If that
+news stays out, the reader polls the platform itself.
+"""
 
 import math
 import random
@@ -24,179 +29,184 @@
 log = get_log('feed_reader')
 
 ItemT = TypeVar('ItemT')
-TakenT = TypeVar('TakenT', contravariant=True)
+ConsumedT = TypeVar('ConsumedT', contravariant=True)
 
-FIRST_RETRY_S = 0.1
-LAST_RETRY_S = 0.5
-"""Pause between two tries while the platform is away: its return has to be
-noticed within the time in which a change must be in force."""
-TOLD_RETRY_S = 2.0
-"""The same while other daemons tell what the platform says."""
-READER_WAIT_S = 1.3
-"""Wait of the daemon that reads for others: a change reaches them at once,
-and this often they are told that there was none."""
-UNTOLD_S = 2.2
-"""Time after which a daemon that is told nothing of a table looks itself. A
-site with relays has 3 s and more to put a change in force everywhere."""
-UNTOLD_SPREAD = 0.25
-"""Part of that time by which daemons differ: the first one that looks tells
-the others, and spares them the call."""
+MIN_BACKOFF_S = 0.1
+MAX_BACKOFF_S = 0.5
+"""Bounds of the backoff while the platform does not answer. A daemon must
+notice its return within the time in which a change must be in force."""
+MAX_BACKOFF_WITH_PEERS_S = 2.0
+"""Upper bound of the backoff while other daemons send news of the table."""
+SHARED_READ_WAIT_S = 1.3
+"""Longest long poll of the daemon that reads for the others. They receive a
+change at once, and a confirmation without changes at this interval."""
+PEER_SILENCE_S = 2.2
+"""Time without news of a table after which a daemon reads it itself. A site
+with relays has 3 s or more to put a change in force everywhere."""
+PEER_SILENCE_JITTER = 0.25
+"""Jitter, as a part of that time. The first daemon that reads sends the news
+to the others, and saves them the call."""
 
 
-class FeedItems(Protocol[TakenT]):
-    """What takes the items of a table."""
+class FeedConsumer(Protocol[ConsumedT]):
+    """Consumer of the items of a table."""
 
-    def replace(self, items: Mapping[str, TakenT | Unreadable]) -> None:
-        """Take everything that is in the table."""
+    def replace(self, items: Mapping[str, ConsumedT | Unreadable]) -> None:
+        """Replace all items by the content of the table."""
 
     def apply(
-        self, changes: tuple[tuple[str, TakenT | Unreadable | None], ...]
+        self, changes: tuple[tuple[str, ConsumedT | Unreadable | None], ...]
     ) -> None:
-        """Take changes in their order."""
+        """Apply changes in order; None stands for a deleted item."""
 
     def confirm(self, at: float) -> None:
-        """Note that all changes up to a moment have been taken."""
+        """Note that all changes up to a moment have been applied."""
 
 
 class FeedReader(Generic[ItemT]):
-    """Reads a table, then follows its changes."""
+    """Reads a whole table, then follows its changes."""
 
     def __init__(
         self,
         *,
         name: str,
         feed: Feed[ItemT],
-        items: FeedItems[ItemT],
+        consumer: FeedConsumer[ItemT],
         health: StoreHealth,
         sharing: TableSharing,
         wait_s: float,
         clock: Callable[[], float],
         rng: random.Random,
     ) -> None:
-        self.is_current = False
-        """Whether the last call to the platform was answered."""
+        self.is_connected = False
+        """Whether the platform answered the last call."""
         self.first_read = anyio.Event()
-        """Set once the whole table was read."""
+        """Set once the whole table has been read."""
         self._name = name
         self._feed = feed
-        self._items = items
+        self._consumer = consumer
         self._health = health
         self.sharing = sharing
         self._wait_s = wait_s
         self._clock = clock
         self._rng = rng
         self._cursor: int | None = None
-        self._changed = 0
+        """Version of the store up to which the table is known."""
+        self._last_change = 0
+        """Version of the newest change that is known."""
         self._confirmed_at = -math.inf
-        self._look = anyio.Event()
-        """Set when others know of a change that was not passed on."""
-        self._was_lost = False
-        self._pause_s = FIRST_RETRY_S
-        self._looking = anyio.Lock()
-        self._looked_in_vain = False
-        """Whether a look found nothing, and nothing was learned since."""
+        """Time up to which all changes are known."""
+        self._read_now = anyio.Event()
+        """Set when news mentions a change without its rows."""
+        self._had_outage = False
+        self._backoff_s = MIN_BACKOFF_S
+        self._refresh_lock = anyio.Lock()
+        self._refresh_failed = False
+        """Whether the last refresh failed, and nothing was learned since."""
 
     @property
     def age_s(self) -> float:
-        """Return the time since the table is known to have had no more."""
+        """Return the staleness: the time since all changes were known."""
         return self._clock() - self._confirmed_at
 
     @property
-    def may_look(self) -> bool:
-        """Whether the platform may tell more at once than is known here."""
-        return self.is_current and not self._looked_in_vain
+    def can_refresh(self) -> bool:
+        """Whether a refresh is likely to succeed."""
+        return self.is_connected and not self._refresh_failed
 
-    async def look(self, *, older_than_s: float, timeout_s: float) -> None:
-        """Read at once what is known too long, beside what `run` does.
+    async def refresh(self, *, older_than_s: float, timeout_s: float) -> None:
+        """Read changes at once if the state here is older than a limit.
 
-        Who asks while another one looks waits for what that one finds.
+        The call is independent of those of `run`. Concurrent callers wait
+        for the first one, and use its result.
         """
-        async with self._looking:
+        async with self._refresh_lock:
             cursor, age_s = self._cursor, self.age_s
-            if cursor is None or not self.may_look or age_s <= older_than_s:
+            if cursor is None or not self.can_refresh or age_s <= older_than_s:
                 return
             sent_at = self._clock()
-            found = await self._feed.look(cursor, timeout_s=timeout_s)
-            if isinstance(found, FeedNews):
-                self._take(found, max(sent_at, found.as_of))
-            self._looked_in_vain = self.age_s > older_than_s
+            answer = await self._feed.look(cursor, timeout_s=timeout_s)
+            if isinstance(answer, FeedNews):
+                self._apply_answer(answer, max(sent_at, answer.as_of))
+            self._refresh_failed = self.age_s > older_than_s
             log.info(
                 'list_was_old',
                 feed=self._name,
                 age_s=round(age_s, 3),
                 took_s=round(self._clock() - sent_at, 3),
-                outcome=type(found).__name__,
+                outcome=type(answer).__name__,
             )
 
     async def run(self) -> None:
-        """Follow until cancelled."""
+        """Follow the table until cancelled."""
         while True:
-            if not self.sharing.is_reader() and self.is_current:
-                await self._wait_until_untold()
+            if not self.sharing.is_reader() and self.is_connected:
+                await self._wait_for_peer_silence()
             await self._read_once()
 
-    def take_news(self, news: TableNews) -> None:
-        """Take what another daemon has read of the table."""
+    def receive_news(self, news: TableNews) -> None:
+        """Apply changes that another daemon has read from the table."""
         view = self.sharing.receive(news)
         if view is None or self._cursor is None:
             return
         if view.changed > self._cursor:
             if not view.rows or view.behind > self._cursor:
-                self._look.set()
+                self._read_now.set()
                 return
-            self._apply(view.rows, self._feed.parse(view.rows))
-        self._note_view(view.version, view.changed, view.as_of)
+            self._apply_changes(view.rows, self._feed.parse(view.rows))
+        self._note_progress(view.version, view.changed, view.as_of)
 
     async def _read_once(self) -> None:
-        self._look = anyio.Event()
+        """Make one call to the platform, and apply its answer."""
+        self._read_now = anyio.Event()
         sent_at = self._clock()
-        found = await self._ask()
-        if isinstance(found, Unavailable):
-            await self._wait_after(found)
+        answer = await self._fetch()
+        if isinstance(answer, Unavailable):
+            await self._back_off(answer)
             return
         self._note_answer()
-        if isinstance(found, HistoryLost):
+        if isinstance(answer, HistoryLost):
             log.info('history_lost', feed=self._name)
             self._cursor = None
             return
-        # However the platform's clock was read, the answer is not older
-        # than the question.
-        self._take(found, max(sent_at, found.as_of))
+        # The answer is not older than the request, whatever the estimate of
+        # the platform's clock says.
+        self._apply_answer(answer, max(sent_at, answer.as_of))
 
-    def _take(
-        self, found: FeedState[ItemT] | FeedNews[ItemT], as_of: float
+    def _apply_answer(
+        self, answer: FeedState[ItemT] | FeedNews[ItemT], as_of: float
     ) -> None:
-        if self._cursor is not None and found.cursor < self._cursor:
-            # Others have told of a newer state meanwhile: rows of this
-            # one would bring back what has changed since.
+        if self._cursor is not None and answer.cursor < self._cursor:
+            # News from a peer has brought a newer state meanwhile: the
+            # older rows of this answer would undo later changes.
             return
-        if isinstance(found, FeedState):
-            # Others are not told: which row changed last is not known after
-            # a whole read, and all of them would look for it.
-            self._items.replace(found.items_by_key)
-            self._note_view(found.cursor, found.cursor, as_of)
+        if isinstance(answer, FeedState):
+            # Peers get no news of a whole read: it does not say which row
+            # changed last, and each peer would read the table to find it.
+            self._consumer.replace(answer.items_by_key)
+            self._note_progress(answer.cursor, answer.cursor, as_of)
             self.first_read.set()
             return
-        behind = self._changed
-        changed = max((row.version for row in found.rows), default=behind)
-        self._apply(found.rows, found.changes)
-        self._note_view(found.cursor, changed, as_of)
+        behind = self._last_change
+        changed = max((row.version for row in answer.rows), default=behind)
+        self._apply_changes(answer.rows, answer.changes)
+        self._note_progress(answer.cursor, changed, as_of)
         self.sharing.tell(
             TableView(
-                version=found.cursor,
-                changed=self._changed,
+                version=answer.cursor,
+                changed=self._last_change,
                 behind=behind,
                 as_of=as_of,
-                rows=found.rows,
+                rows=answer.rows,
             )
         )
 
-    def _apply(
+    def _apply_changes(
         self,
         rows: tuple[FeedRow, ...],
         changes: tuple[tuple[str, ItemT | Unreadable | None], ...],
     ) -> None:
-        """Apply changes that are not known yet."""
+        """Apply the changes that are newer than the cursor."""
         cursor = self._cursor or 0
         new = tuple(
             change
@@ -204,58 +214,64 @@
             if row.version > cursor
         )
         if new:
-            self._items.apply(new)
+            self._consumer.apply(new)
 
-    def _note_view(self, version: int, changed: int, as_of: float) -> None:
+    def _note_progress(self, version: int, changed: int, as_of: float) -> None:
         self._cursor = max(self._cursor or 0, version)
-        self._changed = max(self._changed, changed)
+        self._last_change = max(self._last_change, changed)
         self._confirmed_at = max(self._confirmed_at, as_of)
-        self._looked_in_vain = False
-        self._items.confirm(as_of)
+        self._refresh_failed = False
+        self._consumer.confirm(as_of)
 
-    async def _wait_until_untold(self) -> None:
-        """Wait for as long as others tell that nothing has changed."""
-        longest_s = UNTOLD_S * (1 - self._rng.uniform(0.0, UNTOLD_SPREAD))
-        while not self._look.is_set():
-            left_s = self._confirmed_at + longest_s - self._clock()
+    async def _wait_for_peer_silence(self) -> None:
+        """Wait while news from peers keeps the table up to date."""
+        limit_s = PEER_SILENCE_S * (
+            1 - self._rng.uniform(0.0, PEER_SILENCE_JITTER)
+        )
+        while not self._read_now.is_set():
+            left_s = self._confirmed_at + limit_s - self._clock()
             if left_s <= 0:
                 return
             with anyio.move_on_after(left_s):
-                await self._look.wait()
+                await self._read_now.wait()
 
-    async def _ask(
+    async def _fetch(
         self,
     ) -> FeedState[ItemT] | FeedNews[ItemT] | HistoryLost | Unavailable:
+        """Read the whole table, or the changes after the cursor."""
         if self._cursor is None:
             return await self._feed.read()
-        return await self._feed.follow(self._cursor, wait_s=self._wait())
+        return await self._feed.follow(
+            self._cursor, wait_s=self._long_poll_s()
+        )
 
-    def _wait(self) -> float:
-        """Return for how long the platform may hold the answer back."""
-        # After an outage the answer is wanted at once: until it comes, it
-        # is not known whether what is held here is still in force.
-        if not self.is_current or not self.sharing.is_reader():
+    def _long_poll_s(self) -> float:
+        """Return how long the platform may wait for a change."""
+        # After an outage the first answer must come at once: until then it
+        # is unknown whether the state here is still in force.
+        if not self.is_connected or not self.sharing.is_reader():
             return 0.0
         if self.sharing.states.is_flat:
             return self._wait_s
-        return min(self._wait_s, READER_WAIT_S)
+        return min(self._wait_s, SHARED_READ_WAIT_S)
 
     def _note_answer(self) -> None:
-        self._pause_s = FIRST_RETRY_S
-        if self.is_current:
+        self._backoff_s = MIN_BACKOFF_S
+        if self.is_connected:
             return
-        self.is_current = True
-        if self._was_lost:
+        self.is_connected = True
+        if self._had_outage:
             self._health.note_regained(self._name)
-        log.info('feed_regained', feed=self._name, was_lost=self._was_lost)
+        log.info('feed_regained', feed=self._name, was_lost=self._had_outage)
 
-    async def _wait_after(self, problem: Unavailable) -> None:
-        if self.is_current:
-            self.is_current = False
-            self._was_lost = True
+    async def _back_off(self, problem: Unavailable) -> None:
+        """Note that a call failed, and wait before the next one."""
+        if self.is_connected:
+            self.is_connected = False
+            self._had_outage = True
             self._health.note_lost(self._name)
             log.warning('feed_lost', feed=self._name, reason=problem.reason)
-        await anyio.sleep(self._pause_s * self._rng.uniform(0.5, 1.0))
-        is_told = self._clock() - self._confirmed_at < UNTOLD_S
-        longest_s = TOLD_RETRY_S if is_told else LAST_RETRY_S
-        self._pause_s = min(self._pause_s * 2, longest_s)
+        await anyio.sleep(self._backoff_s * self._rng.uniform(0.5, 1.0))
+        has_peer_news = self._clock() - self._confirmed_at < PEER_SILENCE_S
+        limit_s = MAX_BACKOFF_WITH_PEERS_S if has_peer_news else MAX_BACKOFF_S
+        self._backoff_s = min(self._backoff_s * 2, limit_s)
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/list_age.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/list_age.py
@@ -31,7 +31,7 @@
     async def wait_until_new(self) -> None:
         """Return once the list is new enough, or cannot be read."""
         reader, oldest_s = self.reader, OLD_SHARE * self.drain_s
-        if reader.age_s <= oldest_s or not reader.may_look:
+        if reader.age_s <= oldest_s or not reader.can_refresh:
             return
         with anyio.move_on_after(2 * HELD_S):
-            await reader.look(older_than_s=oldest_s, timeout_s=HELD_S)
+            await reader.refresh(older_than_s=oldest_s, timeout_s=HELD_S)
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/metrics.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/metrics.py
@@ -1,7 +1,8 @@
-"""Metrics of a daemon that passes requests on, rendered for Prometheus.
+"""Metrics of a gateway daemon, rendered for Prometheus.
 
-Label values come from the configuration and from closed lists; routes
-beyond a number share one value, so a large configuration adds no series.
+Label values come from the configuration and from closed lists. Routes beyond
+the first `MAX_ROUTE_LABELS` share one label value, which limits the number of
+time series under a large configuration.
 """
 
 from collections.abc import Callable
@@ -10,17 +11,29 @@
 
 from mimosamux_daemon.domain.routes import Route
 
-SECONDS = [0.02, 0.05, 0.1, 0.2, 0.35, 0.5, 1.0, 2.0, 4.0, 8.0, 15.0]
-MOST_ROUTES = 64
-OTHER_ROUTES = 'other'
+DURATION_BUCKETS_S = [
+    0.02,
+    0.05,
+    0.1,
+    0.2,
+    0.35,
+    0.5,
+    1.0,
+    2.0,
+    4.0,
+    8.0,
+    15.0,
+]
+MAX_ROUTE_LABELS = 64
+OTHER_ROUTES_LABEL = 'other'
 
 
 class GatewayMetrics:
-    """Every metric of a daemon; label values are passed with each use."""
+    """All metrics of a daemon; callers pass the labels with each update."""
 
     def __init__(self) -> None:
         self._registry = Registry()
-        self._routes: set[str] = set()
+        self._labelled_routes: set[str] = set()
         self.collectors: list[Callable[[], None]] = []
         """Called before each rendering, to set the gauges."""
         self.requests = self._counter(
@@ -56,7 +69,7 @@
             'mimosamux_gateway_duty_calls_total',
             'Calls of the duties, by duty and outcome.',
         )
-        self.took_s = self._histogram(
+        self.request_s = self._histogram(
             'mimosamux_gateway_request_seconds',
             'Time from a request to its end, by route.',
         )
@@ -90,16 +103,19 @@
         )
 
     def route_label(self, route: Route) -> str:
-        """Return the value of the label `route`."""
-        if route.name in self._routes:
+        """Return the value of the label `route`.
+
+        Routes get their own value in the order of their first use.
+        """
+        if route.name in self._labelled_routes:
             return route.name
-        if len(self._routes) >= MOST_ROUTES:
-            return OTHER_ROUTES
-        self._routes.add(route.name)
+        if len(self._labelled_routes) >= MAX_ROUTE_LABELS:
+            return OTHER_ROUTES_LABEL
+        self._labelled_routes.add(route.name)
         return route.name
 
     def render(self) -> tuple[bytes, dict[str, str]]:
-        """Return the metrics as text, and the HTTP headers for it."""
+        """Return the metrics as text, and the HTTP headers for them."""
         for collect in self.collectors:
             collect()
         content, headers = render(self._registry, ['text/plain'])
@@ -112,4 +128,6 @@
         return Gauge(name, doc, registry=self._registry)
 
     def _histogram(self, name: str, doc: str) -> Histogram:
-        return Histogram(name, doc, buckets=SECONDS, registry=self._registry)
+        return Histogram(
+            name, doc, buckets=DURATION_BUCKETS_S, registry=self._registry
+        )
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/monitor.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/monitor.py
@@ -1,4 +1,4 @@
-"""What operators and Prometheus read of a daemon."""
+"""Serves metrics, health and status of a daemon to operators over HTTP."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -19,12 +19,15 @@
 from mimosamux_daemon.gateway.trial_tallies import TrialTallies, count_bad
 
 RELEASE_PATH = b'/v1/operator/release/'
-JSON = ((b'Content-Type', b'application/json'),)
+JSON_FIELDS = ((b'Content-Type', b'application/json'),)
 
 
 @dataclass(kw_only=True, slots=True)
 class Monitor:
-    """Serves metrics and the status that `mimosamux status` shows."""
+    """Serves the metrics endpoint and the operator endpoints.
+
+    Prometheus reads `/metrics`; `mimosamux status` shows the status.
+    """
 
     daemon: str
     metrics: GatewayMetrics
@@ -42,7 +45,7 @@
         self.metrics.collectors.append(self.collect)
 
     async def handle(self, incoming: IncomingRequest, reply: Reply) -> None:
-        """Answer one question."""
+        """Answer one request."""
         path = incoming.head.path
         if path == b'/metrics':
             content, headers = self.metrics.render()
@@ -52,7 +55,7 @@
             )
             await reply.answer(200, fields, content)
         elif path == b'/v1/operator/status':
-            await reply.answer(200, JSON, orjson.dumps(self.status()))
+            await reply.answer(200, JSON_FIELDS, orjson.dumps(self.status()))
         elif path.startswith(RELEASE_PATH):
             await self._release(incoming, reply)
         elif path == b'/healthz':
@@ -61,20 +64,23 @@
             await reply.answer(404, ())
 
     async def _release(self, incoming: IncomingRequest, reply: Reply) -> None:
+        """Release quarantined content on the order of an operator."""
         if incoming.head.method != b'POST':
             await reply.answer(405, ((b'Allow', b'POST'),))
             return
         name = incoming.head.path.removeprefix(RELEASE_PATH)
         content = ContentKey(name.decode('latin-1'))
         if self.holds.release(content):
-            await reply.answer(200, JSON, orjson.dumps({'content': content}))
+            await reply.answer(
+                200, JSON_FIELDS, orjson.dumps({'content': content})
+            )
             return
         message = f'no content {content!r} is suspected'
         problem = orjson.dumps({'error': {'message': message}})
-        await reply.answer(404, JSON, problem)
+        await reply.answer(404, JSON_FIELDS, problem)
 
     def status(self) -> dict[str, object]:
-        """Return how things stand, in sections of rows."""
+        """Return the status of the daemon as sections of rows."""
         return {
             'daemon': self.daemon,
             'version': self.configuration.current.version,
@@ -92,7 +98,7 @@
         }
 
     def collect(self) -> None:
-        """Set the gauges to how things stand."""
+        """Set the gauges to the current state."""
         metrics = self.metrics
         metrics.open_requests.set({}, self.open_requests())
         metrics.configuration_version.set(
@@ -126,6 +132,7 @@
                 metrics.endpoints.set(labels, counts.get((service, state), 0))
 
     def _daemon_rows(self) -> list[dict[str, object]]:
+        """Return this daemon, then each peer."""
         fresh = {peer.place.id for peer in self.states.fresh()}
         held = self.duties.held
         rows: list[dict[str, object]] = [
@@ -151,6 +158,7 @@
         return rows
 
     def _held_rows(self) -> list[dict[str, object]]:
+        """Return the quarantined contents."""
         suspects = self.holds.suspects
         return [
             {
@@ -162,6 +170,7 @@
         ]
 
     def _rollout_rows(self) -> list[dict[str, object]]:
+        """Return the last roll-out of each service, with its trial counts."""
         rows: list[dict[str, object]] = []
         for service, known in self.rollouts.by_service.items():
             total = self.trials.total(service)
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/operator_items.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/operator_items.py
@@ -1,4 +1,4 @@
-"""Takes what operators have written: the configuration, and orders."""
+"""Applies items of the operators' table: configuration and roll-out orders."""
 
 from collections.abc import Iterable, Mapping
 from functools import singledispatchmethod
@@ -13,7 +13,7 @@
 
 
 class OperatorItems:
-    """Puts the items of the operators' table in force."""
+    """Consumer of the feed of the operators' table."""
 
     def __init__(
         self,
@@ -27,27 +27,27 @@
         self._rollouts = rollouts
 
     def replace(self, items: Mapping[str, OperatorItem | Unreadable]) -> None:
-        """Take what the whole table holds."""
+        """Apply the content of the whole table."""
         self.apply(items.items())
 
     def apply(
         self, changes: Iterable[tuple[str, OperatorItem | Unreadable | None]]
     ) -> None:
-        """Take changes in their order.
+        """Apply changes in order.
 
-        What cannot be read, or is gone, changes nothing: what is in force
-        stays so.
+        An item that is unreadable or deleted has no effect: what is in
+        force stays in force.
         """
         for key, item in changes:
             self._take(item, key)
 
     def confirm(self, at: float) -> None:
-        """Note that everything in the table up to a moment was taken."""
+        """Note that all changes up to a moment have been applied."""
         self._configuration.confirm(self._configuration.current.version, at)
 
     @singledispatchmethod
     def _take(self, item: object, key: str) -> None:
-        """Pass over what is nothing of ours."""
+        """Ignore items of other types: unreadable or deleted ones."""
 
     @_take.register
     def _(self, item: ConfigurationDocument, key: str) -> None:
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/outcome_log.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/outcome_log.py
@@ -68,7 +68,7 @@
                 'reason': str(fields.get('reason', '')),
             }
         )
-        self.metrics.took_s.observe({'route': route}, took_s)
+        self.metrics.request_s.observe({'route': route}, took_s)
         log.info(
             'request_ended',
             request=job.request.id,
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/parts.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/parts.py
@@ -200,7 +200,7 @@
             name='configuration',
             sharing=self._share('configuration', shared_time),
             feed=self._platform.operators,
-            items=OperatorItems(
+            consumer=OperatorItems(
                 configuration=self.configuration,
                 configuration_key=self._platform.configuration_key,
                 rollouts=self.rollouts,
@@ -251,7 +251,7 @@
             name='endpoints',
             sharing=self._share('endpoints', shared_time, passes_rows=True),
             feed=self._platform.endpoints,
-            items=self.roster,
+            consumer=self.roster,
             health=self.health,
             wait_s=min(
                 ENDPOINTS_WAIT_S, ENDPOINTS_WAIT_SHARE * self.settings.drain_s
@@ -454,7 +454,7 @@
         self, sender: DaemonId, news: TableNews
     ) -> None:
         for reader in (self.configuration_reader, self.endpoint_reader):
-            reader.take_news(news)
+            reader.receive_news(news)
 
     def _forget_before_restart(self, old: EndpointRecord) -> None:
         """Drop what an endpoint held and said, and connections to it."""
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/relay.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/relay.py
@@ -130,7 +130,7 @@
             )
         if not is_sent:
             return CallerGone()
-    if splitter.has_rest or not job.sink.is_started:
+    if splitter.has_partial or not job.sink.is_started:
         return CallBroken(reason='ended within an event')
     await job.sink.finish()
     return Delivered(status=answer.status)
--- a/tests/test_gateway_schedules.py
+++ b/tests/test_gateway_schedules.py
@@ -10,7 +10,7 @@
 from mimosamux_daemon.gateway import relay, roster
 from mimosamux_daemon.gateway.caps import UsageCaps
 from mimosamux_daemon.gateway.configuration import ConfirmedConfiguration
-from mimosamux_daemon.gateway.events import EventSplitter, WholeEvents
+from mimosamux_daemon.gateway.events import CompleteEvents, EventSplitter
 from mimosamux_daemon.gateway.forwarding import Forwarder
 from mimosamux_daemon.gateway.jobs import Job
 from mimosamux_daemon.gateway.metering import Metering
@@ -147,7 +147,7 @@
 
     def test_piece_of_an_event_passed_on(self):
         def feed(self, data):
-            return WholeEvents(data=data, count=1, last_id=None)
+            return CompleteEvents(data=data, count=1, last_id=None)
 
         self.assert_seen(
             'events',
--- a/tests/test_gateway_table_sharing.py
+++ b/tests/test_gateway_table_sharing.py
@@ -3,7 +3,7 @@
 import unittest
 
 import anyio
-from mimosamux_daemon.gateway.feed_reader import UNTOLD_S
+from mimosamux_daemon.gateway.feed_reader import PEER_SILENCE_S
 from mimosamux_daemon.gateway.store_health import LAPSE_S, StoreHealth
 from mimosamux_daemon.gateway.table_sharing import TableView
 from mimosamux_wire import Vouch
@@ -219,7 +219,7 @@
                 await anyio.sleep(3 * LAPSE_S)
                 replica = app_of(site)
                 site.unlist_replica(replica)
-                await anyio.sleep(UNTOLD_S)
+                await anyio.sleep(PEER_SILENCE_S)
                 return known_leaving(site, replica)
 
         self.assertEqual(run_paused(check), DAEMONS)
