--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/attempts.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/attempts.py
@@ -83,7 +83,7 @@
         is leaving.
         """
         record = self.choice.record
-        return self.job.move_target is None and not record.takes_work
+        return self.job.move_target is None and not record.accepts_requests
 
     def note_caller_gone(self) -> None:
         """Record that the caller disconnected before a byte was sent."""
@@ -201,9 +201,9 @@
         chooser = self.recorder.chooser
         record = choice.record
         chooser.parts.note_read(record.id, prompt, record.incarnation)
-        if choice.ahead_tokens < 1:
+        if choice.queued_tokens < 1:
             speed = chooser.speed_of(self.job.service.name)
-            speed.note(choice.unread_tokens, took_s)
+            speed.add_sample(choice.unread_tokens, took_s)
 
     def _count_trial_result(self, *, failed: bool) -> None:
         """Count the result for a software version that is on trial."""
@@ -219,7 +219,7 @@
             self.endpoint.software,
             failed=failed,
             # Every endpoint is slow after its start, whatever its version.
-            took_s=None if self.choice.record.is_cold(now) else took_s,
+            took_s=None if self.choice.record.is_warming_up(now) else took_s,
             expected_s=self.choice.first_event_s,
         )
 
@@ -287,12 +287,12 @@
         ) is not None
         if choice.record.share is not None:
             choice.record.share.take(now)
-        load, unread = choice.record.load, choice.unread_tokens
-        load.begin(unread)
+        load, unread_tokens = choice.record.load, choice.unread_tokens
+        load.begin(unread_tokens)
         try:
             yield attempt
         finally:
-            load.end(0.0 if attempt.has_first_event else unread)
+            load.end(0.0 if attempt.has_first_event else unread_tokens)
 
     def _log_sent(self, job: Job, choice: Choice) -> None:
         record = choice.record
@@ -307,7 +307,7 @@
             data_centre=record.listed.data_centre,
             estimate_s=round(choice.first_event_s, 3),
             unread_tokens=int(choice.unread_tokens),
-            ahead_tokens=int(choice.ahead_tokens),
+            ahead_tokens=int(choice.queued_tokens),
             fetch_from=choice.fetch_from and choice.fetch_from.id,
             under_way=record.load.total(self.clock()).requests,
             news_age_s=round(self.digest_age_s(), 2),
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/choice.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/choice.py
@@ -55,10 +55,10 @@
     """Estimated prompt tokens to prefill: those not in the KV cache."""
     first_event_s: float = 0.0
     """Estimated time to the first event of the answer."""
-    alone_s: float = 0.0
+    own_prefill_excess_s: float = 0.0
     """Part of that time which the request's own prefill takes beyond
     `OWN_PREFILL_S`, and which is therefore not due to queueing."""
-    ahead_tokens: float = 0.0
+    queued_tokens: float = 0.0
     """Tokens of other prompts that are queued there for prefill."""
     fetch_from: EndpointRecord | None = None
     """Endpoint from whose KV cache the shared prefix is to be copied."""
@@ -108,7 +108,7 @@
         request that caused the crash.
         """
         now = self._clock()
-        records = self.find_open(
+        records = self.find_candidates(
             service.name,
             request_id=request_id,
             trial_weight=trial_weight,
@@ -125,7 +125,7 @@
             return self._choose_engine(records, service, route, prompt, now)
         return Choice(record=self._choose_plain(records, now))
 
-    def find_open(
+    def find_candidates(
         self,
         service: ServiceName,
         *,
@@ -151,13 +151,15 @@
             weight=trial_weight,
         )
 
-    def busy_s(self, service: ServiceName, prompt: PromptUse) -> float:
+    def estimate_engine_s(
+        self, service: ServiceName, prompt: PromptUse
+    ) -> float:
         """Return the estimated engine time of a request."""
-        out = prompt.likely_tokens_out
-        if out is None:
-            out = int(prompt.most_tokens_out * OUTPUT_ESTIMATE_SHARE)
-        read_s = self.speed_of(service).read_s(prompt.own_tokens)
-        return read_s + out * ENGINE_S_PER_OUTPUT_TOKEN
+        output_tokens = prompt.likely_tokens_out
+        if output_tokens is None:
+            output_tokens = int(prompt.most_tokens_out * OUTPUT_ESTIMATE_SHARE)
+        prefill_s = self.speed_of(service).prefill_s(prompt.own_tokens)
+        return prefill_s + output_tokens * ENGINE_S_PER_OUTPUT_TOKEN
 
     def _choose_engine(
         self,
@@ -200,8 +202,8 @@
         now = self._clock()
         most, holder = MIN_FETCH_TOKENS - 1, None
         for record in self._roster.of_service(service.name):
-            is_over = record.leaves_at is not None and record.leaves_at < now
-            if is_over or record.is_avoided(now):
+            is_gone = record.leaves_at is not None and record.leaves_at < now
+            if is_gone or record.is_unreachable(now):
                 continue
             tokens = self.parts.cached_tokens(record.id, prompt)
             if tokens > most:
@@ -218,25 +220,29 @@
     ) -> Choice:
         """Estimate the prefill work and the delay at one endpoint."""
         speed = self.speed_of(service.name)
-        use = record.load.total(now)
+        load = record.load.total(now)
         cached = self.parts.cached_tokens(record.id, prompt)
-        source = None
+        fetch_from = None
         if holder is not None and holder is not record:
             held = self.parts.cached_tokens(holder.id, prompt)
             if held - cached >= MIN_FETCH_TOKENS:
-                source, cached = holder, held
-        unread = max(prompt.tokens_in - cached, 1.0)
-        first_s = speed.first_s + speed.read_s(use.unread_tokens + unread)
-        if use.requests >= record.listed.slots:
+                fetch_from, cached = holder, held
+        unread_tokens = max(prompt.tokens_in - cached, 1.0)
+        first_event_s = speed.constant_s + speed.prefill_s(
+            load.unread_tokens + unread_tokens
+        )
+        if load.requests >= record.listed.slots:
             # Without a free slot the request waits until an answer ends.
-            first_s += 1.0 + use.requests / record.listed.slots
+            first_event_s += 1.0 + load.requests / record.listed.slots
         return Choice(
             record=record,
-            unread_tokens=unread,
-            first_event_s=first_s,
-            alone_s=max(0.0, speed.read_s(unread) - OWN_PREFILL_S),
-            ahead_tokens=use.unread_tokens,
-            fetch_from=source,
+            unread_tokens=unread_tokens,
+            first_event_s=first_event_s,
+            own_prefill_excess_s=max(
+                0.0, speed.prefill_s(unread_tokens) - OWN_PREFILL_S
+            ),
+            queued_tokens=load.unread_tokens,
+            fetch_from=fetch_from,
         )
 
     def _choose_plain(
@@ -245,10 +251,10 @@
         """Return the endpoint with the least load per slot."""
 
         def cost(record: EndpointRecord) -> float:
-            use = record.load.total(now)
+            load = record.load.total(now)
             is_far = record.listed.data_centre != self._data_centre
             far = REMOTE_PENALTY_REQUESTS if is_far else 0.0
-            return (use.requests + far) / record.listed.slots
+            return (load.requests + far) / record.listed.slots
 
         shuffled = self._rng.sample(list(records), len(records))
         return min(shuffled, key=cost)
@@ -262,7 +268,7 @@
     An endpoint is left out if connections to it fail, if it has just turned
     requests down, or if its failure share exceeds the best one by `EXCESS`.
     """
-    available = [each for each in records if not each.is_passed_over(now)]
+    available = [each for each in records if not each.is_deprioritised(now)]
     available = available or records
     share_by_id = {
         record.id: record.health.failed_share(now) for record in available
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/endpoint_record.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/endpoint_record.py
@@ -1,4 +1,4 @@
-"""What a daemon knows of one start of one endpoint."""
+"""State that a daemon keeps of one incarnation of an endpoint."""
 
 import math
 from collections.abc import Iterator
@@ -15,109 +15,117 @@
 
 
 @dataclass(kw_only=True, slots=True, eq=False)
-class OpenSend:
-    """A request under way at an endpoint."""
+class OpenCall:
+    """A request that is in flight at an endpoint."""
 
     sent_at: float
-    """On the steady clock."""
+    """Time of sending, on the steady clock."""
     scope: anyio.CancelScope = field(default_factory=anyio.CancelScope)
-    """Cancelled when the endpoint has started anew since."""
+    """Cancelled when the endpoint has been restarted since."""
 
 
 @dataclass(kw_only=True, slots=True, eq=False)
 class EndpointRecord:
-    """What is known of one endpoint; times are of the steady clock."""
+    """State of one endpoint; times are of the steady clock."""
 
     listed: ListedEndpoint
-    since: float
-    """When it was first heard of."""
+    listed_at: float
+    """When this daemon first saw this incarnation in the list."""
     is_leaving: bool = False
-    """Set for good once it is known to go away."""
+    """Set for good once the endpoint is known to be leaving."""
     leaves_at: float | None = None
+    """When it is expected to be gone, None if not known."""
     gone_at: float | None = None
-    """When it was found missing in the list."""
+    """When it was removed from the list, None while it is listed."""
     is_lapsed: bool = False
-    """Whether it is missing in the list, and may live all the same."""
-    is_withheld: bool = False
-    """Whether its entry cannot be read at the moment."""
+    """Whether its entry is missing but may have expired during a store
+    outage, so that the endpoint may still be alive."""
+    is_unreadable: bool = False
+    """Whether its list entry cannot be decoded at the moment."""
     leaving_incarnation: int = 0
-    """Newest start of the endpoint of which peers said that it leaves; it
-    may be one that the list has not told of yet."""
+    """Newest incarnation that peers have reported as leaving; the list may
+    not contain it yet."""
     has_crashed: bool = False
-    """Whether its process ended and nobody had said that it would."""
+    """Whether its process ended without having been announced as leaving."""
     failed_connects: int = 0
-    avoid_until: float = -math.inf
-    rests_until: float = -math.inf
-    """Until when it wants nothing from this daemon, as it said."""
+    """Failed connection attempts in a row."""
+    unreachable_until: float = -math.inf
+    """End of the backoff after failed connection attempts."""
+    paused_until: float = -math.inf
+    """End of the pause that the endpoint has asked this daemon for."""
     share: RateShare | None = None
-    """What this daemon may send there, None: as much as comes."""
-    refusals: int = 0
-    """Refusals in a row, those of requests that were under way left out."""
-    refused_at: float = -math.inf
-    passed_over_until: float = -math.inf
-    """Until when others go first, since it turned requests down."""
+    """This daemon's part of the endpoint's rate limit, None: unlimited."""
+    rejections: int = 0
+    """Rejections in a row; those of requests that were already in flight at
+    the last one are not counted."""
+    rejected_at: float = -math.inf
+    """Time of the last rejection that was counted."""
+    deprioritised_until: float = -math.inf
+    """Until when other endpoints are preferred, after rejections."""
     load: EndpointLoad = field(default_factory=EndpointLoad)
     health: EndpointHealth = field(default_factory=EndpointHealth)
-    open_sends: set[OpenSend] = field(default_factory=set)
+    open_calls: set[OpenCall] = field(default_factory=set)
+    """Requests of this daemon that are in flight there."""
 
     @property
     def id(self) -> EndpointId:
-        """Return the id, which an endpoint keeps when it starts anew."""
+        """Return the id, which an endpoint keeps across restarts."""
         return self.listed.id
 
     @property
     def incarnation(self) -> int:
-        """Return which start of the endpoint this is, 0: not known."""
+        """Return the number of this incarnation, 0: not known."""
         return self.listed.incarnation
 
     @property
-    def takes_work(self) -> bool:
-        """Whether new requests may be sent there."""
+    def accepts_requests(self) -> bool:
+        """Whether the endpoint accepts new requests at all."""
         return not (
-            self.is_leaving or self.is_withheld or self.gone_at is not None
+            self.is_leaving or self.is_unreadable or self.gone_at is not None
         )
 
-    def is_cold(self, now: float) -> bool:
-        """Whether it is still slow since its start, as the list tells."""
-        return now < self.since + self.listed.slow_for_s
+    def is_warming_up(self, now: float) -> bool:
+        """Whether it is within its slow period after a start."""
+        return now < self.listed_at + self.listed.slow_for_s
 
-    def is_avoided(self, now: float) -> bool:
-        """Whether connects fail there and the next try is not due."""
-        return now < self.avoid_until
+    def is_unreachable(self, now: float) -> bool:
+        """Whether connections to it fail and the next attempt is not due."""
+        return now < self.unreachable_until
 
-    def is_passed_over(self, now: float) -> bool:
-        """Whether requests go elsewhere first, where that is possible."""
-        return self.is_avoided(now) or now < self.passed_over_until
+    def is_deprioritised(self, now: float) -> bool:
+        """Whether other endpoints are preferred at the moment."""
+        return self.is_unreachable(now) or now < self.deprioritised_until
 
     def is_open(self, now: float) -> bool:
-        """Whether it wants a request of this daemon now, as it has said."""
-        if now < self.rests_until:
+        """Whether its pause and rate limit allow this daemon a request now."""
+        if now < self.paused_until:
             return False
         return self.share is None or self.share.has_room(now)
 
     def opens_in_s(self, now: float) -> float:
-        """Return the time until it wants a request, as far as is known."""
+        """Return the time until its pause and rate limit allow a request."""
         wait_s = 0.0 if self.share is None else self.share.opens_in_s(now)
-        return max(self.rests_until - now, wait_s, 0.0)
+        return max(self.paused_until - now, wait_s, 0.0)
 
     @contextmanager
-    def sending(self, now: float) -> Iterator[None]:
-        """Count a request as under way; the block ends with the process."""
-        send = OpenSend(sent_at=now)
-        self.open_sends.add(send)
+    def track_call(self, now: float) -> Iterator[None]:
+        """Count a request as in flight, and cancel the block on a restart."""
+        call = OpenCall(sent_at=now)
+        self.open_calls.add(call)
         try:
-            with send.scope:
+            with call.scope:
                 yield
         finally:
-            self.open_sends.discard(send)
+            self.open_calls.discard(call)
 
-    def end_sends(self, *, before: float) -> int:
-        """Cancel what was sent before a moment; return how much it was.
+    def cancel_calls(self, *, before: float) -> int:
+        """Cancel requests sent before a given time; return their number.
 
-        Its process is gone. Behind a cut, or from a VM that lost power,
-        no reset tells so, and callers would wait for nothing.
+        The process that received them is gone. During a network partition,
+        or if its VM lost power, no TCP reset reports this, and callers would
+        wait in vain.
         """
-        lost = [send for send in self.open_sends if send.sent_at < before]
-        for send in lost:
-            send.scope.cancel()
+        lost = [call for call in self.open_calls if call.sent_at < before]
+        for call in lost:
+            call.scope.cancel()
         return len(lost)
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/endpoint_reports.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/endpoint_reports.py
@@ -1,4 +1,4 @@
-"""What daemons tell each other of the endpoints that they send to."""
+"""Exchange of load and health figures of endpoints between daemons."""
 
 from collections.abc import Callable
 
@@ -11,16 +11,20 @@
 
 
 class EndpointReports:
-    """Load and answers of endpoints, as part of the digests."""
+    """The part of the gossip digests that covers endpoints.
+
+    Each digest lists, per endpoint, the sender's requests in flight and the
+    answers that it counted in the last window.
+    """
 
     def __init__(self, *, roster: Roster, clock: Callable[[], float]) -> None:
         self._roster = roster
         self._clock = clock
-        self._told_by_peer: dict[DaemonId, frozenset[EndpointId]] = {}
-        """Endpoints that each peer told of in its last digest."""
+        self._reported_by_peer: dict[DaemonId, frozenset[EndpointId]] = {}
+        """Endpoints that each peer's last digest contained."""
 
     def write(self, digest: StateDigest) -> None:
-        """Tell what is under way at each endpoint from here."""
+        """Add this daemon's figures for each endpoint to a digest."""
         now = self._clock()
         for record in self._roster.by_id.values():
             use, answers = record.load.own(), record.health.own(now)
@@ -37,34 +41,35 @@
                 )
 
     def take(self, peer: PeerState, digest: StateDigest) -> None:
-        """Take what a peer has under way.
+        """Apply a peer's digest.
 
-        Only endpoints that the peer tells of, or told of last time, are
-        looked at: with 65 daemons and 92 endpoints, going through all of
-        them for each digest took 0.21 of 0.34 ms.
+        Only endpoints in this digest or in the peer's previous one are
+        updated: with 65 daemons and 92 endpoints, iterating over all of them
+        took 0.21 of the 0.34 ms for each digest.
         """
         now = self._clock()
-        told = {
+        reported = {
             EndpointId(use.endpoint): use
             for use in digest.endpoints
             if self._roster.is_current(
                 EndpointId(use.endpoint), use.incarnation
             )
         }
-        before = self._told_by_peer.get(peer.place.id, frozenset())
-        self._told_by_peer[peer.place.id] = frozenset(told)
-        for id_ in before - told.keys():
-            self._note_peer(peer, id_, EndpointUse(), now)
-        for id_, use in told.items():
-            self._note_peer(peer, id_, use, now)
+        before = self._reported_by_peer.get(peer.place.id, frozenset())
+        self._reported_by_peer[peer.place.id] = frozenset(reported)
+        for id_ in before - reported.keys():
+            self._apply_use(peer, id_, EndpointUse(), now)
+        for id_, use in reported.items():
+            self._apply_use(peer, id_, use, now)
 
     def forget_peer(self, id_: DaemonId) -> None:
-        """Forget what a daemon told that is given up."""
-        self._told_by_peer.pop(id_, None)
+        """Remove the state of a peer that is considered dead."""
+        self._reported_by_peer.pop(id_, None)
 
-    def _note_peer(
+    def _apply_use(
         self, peer: PeerState, id_: EndpointId, use: EndpointUse, now: float
     ) -> None:
+        """Pass a peer's figures to the load and health of one endpoint."""
         record = self._roster.by_id.get(id_)
         if record is None:
             return
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/forwarding.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/forwarding.py
@@ -158,7 +158,7 @@
         self.budget.note_request(job.service.name)
         prompt = job.request.prompt
         if prompt is not None:
-            busy_s = self.chooser.busy_s(job.service.name, prompt)
+            busy_s = self.chooser.estimate_engine_s(job.service.name, prompt)
             self.demand.note(job.service.name, busy_s)
 
     async def _run(self, job: Job) -> GatewayOutcome:
@@ -221,7 +221,7 @@
     ) -> GatewayOutcome | NotSent | ContinueElsewhere:
         """Make one attempt; it breaks off if the endpoint restarts."""
         with self.recorder.open(job, choice) as attempt:
-            with choice.record.sending(attempt.sent_at):
+            with choice.record.track_call(attempt.sent_at):
                 return await self._exchange(job, attempt)
             return self._handle_broken_call(job, attempt, ENDPOINT_RESTARTED)
 
@@ -365,7 +365,7 @@
 
     def _has_alternative(self, job: Job) -> bool:
         return bool(
-            self.chooser.find_open(
+            self.chooser.find_candidates(
                 job.service.name,
                 request_id=job.request.id,
                 excluding=job.tried,
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/loads.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/loads.py
@@ -1,45 +1,46 @@
-"""What daemons have under way at one endpoint."""
+"""Requests of all daemons that are in flight at one endpoint."""
 
 import math
 from dataclasses import dataclass, field
 
 from mimosamux_daemon.domain.names import DaemonId
 
-PEER_USE_S = 5.0
-"""What a peer told counts for so long; a peer that died leaves nothing
-under way, as endpoints drop requests whose connection ends."""
+PEER_REPORT_TTL_S = 5.0
+"""How long a peer's last report counts. A peer that died has no requests in
+flight, as endpoints drop requests whose connection ends."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Use:
-    """Requests under way, and prompt tokens still to be read for them."""
+class LoadCounts:
+    """Requests in flight, and prompt tokens still to be prefilled for them."""
 
     requests: int = 0
     unread_tokens: float = 0.0
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class _PeerUse:
+class _PeerReport:
     requests: int
     unread_tokens: float
     at: float
+    """When the report arrived, on the steady clock."""
 
 
-NOTHING = _PeerUse(requests=0, unread_tokens=0.0, at=-math.inf)
+NO_REPORT = _PeerReport(requests=0, unread_tokens=0.0, at=-math.inf)
 
 
 @dataclass(kw_only=True, slots=True)
 class EndpointLoad:
-    """Requests under way from here and, as they tell it, from peers."""
+    """Requests in flight of this daemon and, as reported, of its peers."""
 
     requests: int = 0
     unread_tokens: float = 0.0
-    _by_peer: dict[DaemonId, _PeerUse] = field(default_factory=dict)
-    _peers: Use = Use()
-    """Sum over the peers; adding it up for each choice took longer than the
-    rest of the choice once there were dozens of peers."""
-    _peers_until: float = math.inf
-    """When the oldest part of the sum no longer counts, or earlier."""
+    _report_by_peer: dict[DaemonId, _PeerReport] = field(default_factory=dict)
+    _peer_sum: LoadCounts = LoadCounts()
+    """Sum over the peers. Computing it for each choice of an endpoint took
+    longer than the rest of the choice with dozens of peers."""
+    _peer_sum_expires_at: float = math.inf
+    """When the oldest report in the sum expires, or an earlier time."""
 
     def begin(self, unread_tokens: float) -> None:
         """Count a request that is about to be sent."""
@@ -47,11 +48,11 @@
         self.unread_tokens += unread_tokens
 
     def note_read(self, unread_tokens: float) -> None:
-        """Count a prompt as read, when its answer begins."""
+        """Count a prompt as prefilled, when its answer begins."""
         self.unread_tokens = max(0.0, self.unread_tokens - unread_tokens)
 
     def end(self, unread_tokens: float) -> None:
-        """Count a request out, and what was not read of its prompt."""
+        """Remove a request, and the tokens that were not prefilled for it."""
         self.requests -= 1
         self.note_read(unread_tokens)
 
@@ -63,48 +64,52 @@
         unread_tokens: float,
         now: float,
     ) -> None:
-        """Take what a peer has under way."""
-        before = self._by_peer.pop(peer, NOTHING)
+        """Replace what a peer has in flight by its latest report."""
+        old = self._report_by_peer.pop(peer, NO_REPORT)
         if requests:
-            use = _PeerUse(
+            report = _PeerReport(
                 requests=requests, unread_tokens=unread_tokens, at=now
             )
-            self._by_peer[peer] = use
-            self._peers_until = min(self._peers_until, now + PEER_USE_S)
+            self._report_by_peer[peer] = report
+            self._peer_sum_expires_at = min(
+                self._peer_sum_expires_at, now + PEER_REPORT_TTL_S
+            )
         else:
-            use = NOTHING
-        self._peers = Use(
-            requests=self._peers.requests + use.requests - before.requests,
-            unread_tokens=self._peers.unread_tokens
-            + use.unread_tokens
-            - before.unread_tokens,
+            report = NO_REPORT
+        self._peer_sum = LoadCounts(
+            requests=self._peer_sum.requests + report.requests - old.requests,
+            unread_tokens=self._peer_sum.unread_tokens
+            + report.unread_tokens
+            - old.unread_tokens,
         )
 
-    def total(self, now: float) -> Use:
-        """Return what all daemons have under way, as far as known."""
-        if now >= self._peers_until:
-            self._forget_silent(now)
-        return Use(
-            requests=self.requests + self._peers.requests,
-            unread_tokens=self.unread_tokens + self._peers.unread_tokens,
+    def total(self, now: float) -> LoadCounts:
+        """Return what all daemons have in flight, by their latest reports."""
+        if now >= self._peer_sum_expires_at:
+            self._expire_reports(now)
+        return LoadCounts(
+            requests=self.requests + self._peer_sum.requests,
+            unread_tokens=self.unread_tokens + self._peer_sum.unread_tokens,
         )
 
-    def _forget_silent(self, now: float) -> None:
-        """Drop peers that have not told anything for long."""
-        self._by_peer = {
-            peer: use
-            for peer, use in self._by_peer.items()
-            if now - use.at < PEER_USE_S
+    def _expire_reports(self, now: float) -> None:
+        """Drop reports that are older than `PEER_REPORT_TTL_S`."""
+        self._report_by_peer = {
+            peer: report
+            for peer, report in self._report_by_peer.items()
+            if now - report.at < PEER_REPORT_TTL_S
         }
-        uses = self._by_peer.values()
-        self._peers = Use(
-            requests=sum(use.requests for use in uses),
-            unread_tokens=sum(use.unread_tokens for use in uses),
+        reports = self._report_by_peer.values()
+        self._peer_sum = LoadCounts(
+            requests=sum(report.requests for report in reports),
+            unread_tokens=sum(report.unread_tokens for report in reports),
         )
-        self._peers_until = PEER_USE_S + min(
-            (use.at for use in uses), default=math.inf
+        self._peer_sum_expires_at = PEER_REPORT_TTL_S + min(
+            (report.at for report in reports), default=math.inf
         )
 
-    def own(self) -> Use:
-        """Return what is under way from here."""
-        return Use(requests=self.requests, unread_tokens=self.unread_tokens)
+    def own(self) -> LoadCounts:
+        """Return what this daemon has in flight."""
+        return LoadCounts(
+            requests=self.requests, unread_tokens=self.unread_tokens
+        )
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/monitor.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/monitor.py
@@ -206,6 +206,6 @@
     def _state_of(self, record: EndpointRecord) -> str:
         if record.is_leaving:
             return 'leaving'
-        if record.is_avoided(self.clock()):
+        if record.is_unreachable(self.clock()):
             return 'avoided'
         return 'serving' if record.share is None else 'limited'
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/overload.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/overload.py
@@ -40,7 +40,7 @@
         if prompt is None or job.service.engine is None or job.sends:
             return None
         limit_s = job.route.target_s * self._limit_share(job)
-        late_s = choice.first_event_s - limit_s - choice.alone_s
+        late_s = choice.first_event_s - limit_s - choice.own_prefill_excess_s
         if late_s <= 0:
             self._note(job, is_admitted=True)
             return None
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/roster.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/roster.py
@@ -147,7 +147,7 @@
         return [
             record
             for record in self.by_id.values()
-            if record.listed.service == service and record.takes_work
+            if record.listed.service == service and record.accepts_requests
         ]
 
     def open_to(self, service: ServiceName) -> list[EndpointRecord]:
@@ -177,36 +177,36 @@
         """
         if not failed:
             record.failed_connects = 0
-            record.avoid_until = -math.inf
+            record.unreachable_until = -math.inf
             return
         pause = _find_pause(record.failed_connects, LAST_PAUSE_S)
         record.failed_connects += 1
-        record.avoid_until = self._clock() + pause
+        record.unreachable_until = self._clock() + pause
 
     def note_refusal(self, record: EndpointRecord, sent_at: float) -> None:
         """Pass over an endpoint for a while that turned a request down.
 
         It has nothing under way then, and would be taken for the best.
         """
-        if sent_at < record.refused_at:
+        if sent_at < record.rejected_at:
             return
         now = self._clock()
-        pause = _find_pause(record.refusals, LONGEST_PASSED_OVER_S)
-        record.refusals += 1
-        record.refused_at = now
-        record.passed_over_until = now + pause
+        pause = _find_pause(record.rejections, LONGEST_PASSED_OVER_S)
+        record.rejections += 1
+        record.rejected_at = now
+        record.deprioritised_until = now + pause
 
     def note_taken(self, record: EndpointRecord, sent_at: float) -> None:
         """Note that an endpoint took a request that was sent at a time."""
-        if sent_at >= record.refused_at:
-            record.refusals = 0
-            record.passed_over_until = -math.inf
+        if sent_at >= record.rejected_at:
+            record.rejections = 0
+            record.deprioritised_until = -math.inf
 
     def note_rest(self, record: EndpointRecord, pause_s: float) -> None:
         """Send an endpoint nothing for as long as it asks."""
         until = self._clock() + min(pause_s, LONGEST_REST_S)
-        if until > record.rests_until:
-            record.rests_until = until
+        if until > record.paused_until:
+            record.paused_until = until
             log.info('endpoint_rests', endpoint=record.id, pause_s=pause_s)
 
     def note_replaced(self, record: EndpointRecord) -> None:
@@ -264,14 +264,14 @@
         record.listed = item
         record.gone_at = None
         record.is_lapsed = False
-        record.is_withheld = False
+        record.is_unreadable = False
         if item.state is EndpointState.LEAVING:
             self.note_leaving(
                 item.id, left_s=item.leaves_in_s, source=PLATFORM
             )
 
     def _add(self, item: ListedEndpoint) -> EndpointRecord:
-        record = EndpointRecord(listed=item, since=self._clock())
+        record = EndpointRecord(listed=item, listed_at=self._clock())
         self.by_id[item.id] = record
         log.info(
             'endpoint_listed',
@@ -293,7 +293,7 @@
         now = self._clock()
         old.gone_at = now
         age_s = self._time_of_day() - item.incarnation / 1000
-        lost = old.end_sends(before=now - max(age_s, 0.0) - START_SLACK_S)
+        lost = old.cancel_calls(before=now - max(age_s, 0.0) - START_SLACK_S)
         log.info(
             'endpoint_restarted',
             endpoint=item.id,
@@ -312,9 +312,9 @@
         self, record: EndpointRecord | None, item: Unreadable
     ) -> None:
         """Use an endpoint no longer until its entry can be read again."""
-        if record is None or record.is_withheld:
+        if record is None or record.is_unreadable:
             return
-        record.is_withheld = True
+        record.is_unreadable = True
         log.warning(
             'endpoint_withheld', endpoint=record.id, problem=item.problem
         )
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/running_stream.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/running_stream.py
@@ -54,7 +54,7 @@
     @property
     def has_lasting_copy(self) -> bool:
         """Whether a copy stands at an endpoint that does not leave."""
-        return self.copy is not None and self.copy.holder.takes_work
+        return self.copy is not None and self.copy.holder.accepts_requests
 
     def copy_s(self) -> float:
         """Return the time that a copy of its memory takes at most."""
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/stream_moves.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/stream_moves.py
@@ -89,7 +89,10 @@
                 stream.copy = StreamCopy(
                     kv_source=outcome.kv_source, holder=copy.holder
                 )
-            elif isinstance(outcome, RunKept) and not copy.holder.takes_work:
+            elif (
+                isinstance(outcome, RunKept)
+                and not copy.holder.accepts_requests
+            ):
                 # The copy is lost with its holder; the source has the run
                 # for as long as it is there.
                 stream.copy = StreamCopy(
@@ -124,7 +127,7 @@
         records = [
             record
             for record in self.roster.open_to(stream.service.name)
-            if record.id != stream.record.id and not record.is_avoided(now)
+            if record.id != stream.record.id and not record.is_unreachable(now)
         ]
         records = self.rollouts.narrow(
             stream.service.name,
--- a/tests/test_gateway_endpoint_words.py
+++ b/tests/test_gateway_endpoint_words.py
@@ -129,12 +129,12 @@
         listed = ListedEndpoint(
             id='i-1', service='app', address='', data_centre='', slots=1
         )
-        record = EndpointRecord(listed=listed, since=0.0)
+        record = EndpointRecord(listed=listed, listed_at=0.0)
         for _ in range(3000):
             roster.note_connect(record, failed=True)
             roster.note_refusal(record, 0.0)
-        self.assertEqual(record.avoid_until, LAST_PAUSE_S)
-        self.assertEqual(record.passed_over_until, LONGEST_PASSED_OVER_S)
+        self.assertEqual(record.unreachable_until, LAST_PAUSE_S)
+        self.assertEqual(record.deprioritised_until, LONGEST_PASSED_OVER_S)
 
     def test_wait_for_all_endpoints_is_told_to_the_caller(self):
         async def check():
--- a/tests/test_gateway_loads.py
+++ b/tests/test_gateway_loads.py
@@ -4,7 +4,11 @@
 import unittest
 
 from mimosamux_daemon.domain.names import DaemonId
-from mimosamux_daemon.gateway.loads import PEER_USE_S, EndpointLoad, Use
+from mimosamux_daemon.gateway.loads import (
+    PEER_REPORT_TTL_S,
+    EndpointLoad,
+    LoadCounts,
+)
 
 ONE, TWO = DaemonId('10.1.0.1:1'), DaemonId('10.1.0.2:1')
 
@@ -21,7 +25,9 @@
         load.begin(100.0)
         tell(load, ONE, 2, 0.0, 50.0)
         tell(load, TWO, 3, 0.0, 7.0)
-        self.assertEqual(load.total(1.0), Use(requests=6, unread_tokens=157.0))
+        self.assertEqual(
+            load.total(1.0), LoadCounts(requests=6, unread_tokens=157.0)
+        )
 
     def test_what_a_peer_tells_replaces_what_it_told(self):
         load = EndpointLoad()
@@ -29,7 +35,7 @@
         tell(load, ONE, 2, 1.0)
         self.assertEqual(load.total(1.0).requests, 2)
         tell(load, ONE, 0, 2.0)
-        self.assertEqual(load.total(2.0), Use())
+        self.assertEqual(load.total(2.0), LoadCounts())
 
     def test_peer_that_died_leaves_nothing_under_way(self):
         """A daemon is killed with requests at an endpoint.
@@ -40,9 +46,9 @@
         load = EndpointLoad()
         tell(load, ONE, 5, 0.0)
         tell(load, TWO, 1, 3.0)
-        self.assertEqual(load.total(PEER_USE_S - 0.1).requests, 6)
-        self.assertEqual(load.total(PEER_USE_S).requests, 1)
-        self.assertEqual(load.total(3.0 + PEER_USE_S).requests, 0)
+        self.assertEqual(load.total(PEER_REPORT_TTL_S - 0.1).requests, 6)
+        self.assertEqual(load.total(PEER_REPORT_TTL_S).requests, 1)
+        self.assertEqual(load.total(3.0 + PEER_REPORT_TTL_S).requests, 0)
         tell(load, ONE, 4, 20.0)
         self.assertEqual(load.total(20.0).requests, 4)
 
@@ -58,9 +64,9 @@
             counted = [
                 each
                 for each in told.values()
-                if each[0] and now - each[2] < PEER_USE_S
+                if each[0] and now - each[2] < PEER_REPORT_TTL_S
             ]
-            expected = Use(
+            expected = LoadCounts(
                 requests=sum(each[0] for each in counted),
                 unread_tokens=sum(each[1] for each in counted),
             )
--- a/tests/test_gateway_rate_shares.py
+++ b/tests/test_gateway_rate_shares.py
@@ -83,7 +83,7 @@
     listed = ListedEndpoint(
         id='i-1', service='app', address='', data_centre='', slots=1
     )
-    roster.by_id['i-1'] = EndpointRecord(listed=listed, since=0.0)
+    roster.by_id['i-1'] = EndpointRecord(listed=listed, listed_at=0.0)
     return roster
 
 
--- a/tests/test_gateway_restarts.py
+++ b/tests/test_gateway_restarts.py
@@ -137,7 +137,7 @@
         self.list(entry(LATER))
         self.assertEqual(self.record.load.total(self.now).requests, 0)
         self.assertIsNone(self.record.health.failed_share(self.now))
-        self.assertFalse(self.record.is_avoided(self.now))
+        self.assertFalse(self.record.is_unreachable(self.now))
         self.assertEqual(self.parts.cached_tokens(ID, PROMPT_USE), 0)
         self.assertEqual(len(self.roster.serving(APP)), 1)
 
--- a/tests/test_gateway_schedules.py
+++ b/tests/test_gateway_schedules.py
@@ -109,7 +109,7 @@
             [(0.1, 'drain_replica', 1), (4.0, 'heal', 0)],
             mock.patch.object(
                 roster.EndpointRecord,
-                'takes_work',
+                'accepts_requests',
                 property(lambda self: self.gone_at is None),
             ),
         )
--- a/tests/test_gateway_table_sharing.py
+++ b/tests/test_gateway_table_sharing.py
@@ -33,7 +33,7 @@
     count = 0
     for handle in site.daemons:
         record = handle.daemon.parts.roster.by_id.get(replica.id)
-        count += record is None or not record.takes_work
+        count += record is None or not record.accepts_requests
     return count
 
 
--- a/tests/test_gateway_trials.py
+++ b/tests/test_gateway_trials.py
@@ -48,7 +48,7 @@
         slots=8,
         software=software,
     )
-    return EndpointRecord(listed=listed, since=0.0)
+    return EndpointRecord(listed=listed, listed_at=0.0)
 
 
 class Fleet:
