--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/attempts.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/attempts.py
@@ -13,7 +13,7 @@
 from mimosamux_daemon.domain.gateway import ListedEndpoint
 from mimosamux_daemon.gateway.begun_counts import BegunCounts
 from mimosamux_daemon.gateway.choice import Choice, Chooser
-from mimosamux_daemon.gateway.crash_watch import CrashWatch
+from mimosamux_daemon.gateway.crash_detector import CrashDetector
 from mimosamux_daemon.gateway.endpoint_limits import EndpointLimits
 from mimosamux_daemon.gateway.jobs import Job
 from mimosamux_daemon.gateway.metrics import GatewayMetrics
@@ -117,7 +117,7 @@
         record = self.choice.record
         roster = self.recorder.roster
         if not (isinstance(answer, TurnedDown) and answer.is_other_endpoint):
-            self.recorder.crashes.note_answer(record)
+            self.recorder.crash_detector.note_answer(record)
         if not isinstance(answer, TurnedDown):
             roster.note_taken(record, self.sent_at)
         elif answer.is_full and not self.job.is_resumed:
@@ -156,7 +156,9 @@
         self.note_begun()
         self.note_result(failed=True)
         self._log('call_broken', reason=reason)
-        self.recorder.crashes.note_broken(self.job.content, self.choice.record)
+        self.recorder.crash_detector.note_broken_answer(
+            self.job.content, self.choice.record
+        )
 
     def note_silent(self) -> None:
         """Record that the endpoint is abandoned because it did not answer."""
@@ -246,7 +248,7 @@
     roster: Roster
     chooser: Chooser
     begun: BegunCounts
-    crashes: CrashWatch
+    crash_detector: CrashDetector
     limits: EndpointLimits
     trials: TrialTallies
     metrics: GatewayMetrics
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/crash_watch.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/crash_detector.py
@@ -13,13 +13,13 @@
 from mimosamux_daemon.domain.gateway import EndpointState
 from mimosamux_daemon.domain.names import ContentKey
 from mimosamux_daemon.gateway.crash_exchange import CrashExchange
-from mimosamux_daemon.gateway.crash_suspects import EndpointStart
+from mimosamux_daemon.gateway.crash_suspects import EndpointProcess
 from mimosamux_daemon.gateway.endpoint_record import EndpointRecord
 from mimosamux_daemon.gateway.metrics import GatewayMetrics
 from mimosamux_daemon.logs import get_log
 from mimosamux_daemon.ports.endpoint_calls import EndpointCalls, Presence
 
-log = get_log('crash_watch')
+log = get_log('crash_detector')
 
 CHECK_INTERVAL_S = 0.1
 """Pause between two checks of an endpoint: a process that is ending may still
@@ -36,7 +36,7 @@
 
 
 @dataclass(kw_only=True, slots=True)
-class CrashWatch:
+class CrashDetector:
     """Checks endpoints whose answers broke off."""
 
     exchange: CrashExchange
@@ -53,12 +53,14 @@
     """Endpoints that were declared crashed and answer again."""
     _has_work: anyio.Event = field(default_factory=anyio.Event)
 
-    def note_broken(self, content: ContentKey, record: EndpointRecord) -> None:
+    def note_broken_answer(
+        self, content: ContentKey, record: EndpointRecord
+    ) -> None:
         """Record that an answer of an endpoint broke off."""
         if record.is_leaving:
             return
         if record.has_crashed:
-            self.exchange.note_crash(_as_process(record), (content,))
+            self.exchange.report_crash(_as_process(record), (content,))
             return
         contents = self._contents_by_record.setdefault(record, set())
         contents.add(content)
@@ -108,7 +110,7 @@
                 incarnation=record.incarnation,
                 contents=len(contents),
             )
-            self.exchange.note_crash(_as_process(record), contents)
+            self.exchange.report_crash(_as_process(record), contents)
 
     async def _detect_crash(self, record: EndpointRecord) -> bool:
         deadline = self.clock() + DETECTION_TIMEOUT_S
@@ -129,5 +131,5 @@
         return False
 
 
-def _as_process(record: EndpointRecord) -> EndpointStart:
-    return EndpointStart(id=record.id, incarnation=record.incarnation)
+def _as_process(record: EndpointRecord) -> EndpointProcess:
+    return EndpointProcess(id=record.id, incarnation=record.incarnation)
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/crash_exchange.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/crash_exchange.py
@@ -17,10 +17,10 @@
 from mimosamux_daemon.domain.names import ContentKey, DaemonId
 from mimosamux_daemon.gateway.crash_suspects import (
     CrashSuspects,
-    EndpointStart,
+    EndpointProcess,
     Suspect,
     join_ids,
-    parse_start,
+    parse_process,
 )
 from mimosamux_daemon.gateway.peer_states import PeerStates
 from mimosamux_daemon.logs import get_log
@@ -29,7 +29,7 @@
 log = get_log('crash_exchange')
 
 MS_PER_S = 1000
-TOLD_AT_ONCE = 256
+SUSPECTS_PER_MESSAGE = 256
 """Largest number of suspects in one message."""
 LOCAL = 'own'
 """Log value for what this daemon detected itself."""
@@ -57,32 +57,34 @@
         self.peers.handle(CrashWithdrawn, self._receive_withdrawn)
         self.states.on_joined.append(self._send_all)
 
-    def note_crash(
-        self, start: EndpointStart, contents: Iterable[ContentKey]
+    def report_crash(
+        self, process: EndpointProcess, contents: Iterable[ContentKey]
     ) -> None:
         """Suspect the contents that were running at a crashed endpoint."""
         changed_contents = []
         for content in sorted(contents):
             suspect = Suspect(
                 content=content,
-                crashed=frozenset({start}),
-                last_at=self.clock(),
+                crashed=frozenset({process}),
+                last_crash_at=self.clock(),
             )
-            if self.take(suspect, source=LOCAL):
+            if self.merge(suspect, source=LOCAL):
                 changed_contents.append(content)
         self._broadcast(changed_contents)
         for content in changed_contents:
             for listener in self.on_suspected:
                 listener(content)
 
-    def withdraw(self, start: EndpointStart, *, source: str = LOCAL) -> bool:
+    def withdraw(
+        self, process: EndpointProcess, *, source: str = LOCAL
+    ) -> bool:
         """Withdraw a crash at all daemons; False if it was done before."""
-        changed = self.suspects.withdraw(start)
+        changed = self.suspects.withdraw(process)
         if changed is None:
             return False
         log.info(
             'crash_withdrawn',
-            endpoint=start.id,
+            endpoint=process.id,
             contents=len(changed),
             source=source,
         )
@@ -92,29 +94,29 @@
             for listener in listeners:
                 listener(content)
         if source == LOCAL or self.states.forwards_messages:
-            self.states.queue(CrashWithdrawn(endpoint=str(start)))
+            self.states.queue(CrashWithdrawn(endpoint=str(process)))
         return True
 
     async def _receive_withdrawn(
         self, sender: DaemonId, message: CrashWithdrawn
     ) -> None:
-        start = parse_start(message.endpoint)
-        if start is not None:
-            self.withdraw(start, source=sender)
+        process = parse_process(message.endpoint)
+        if process is not None:
+            self.withdraw(process, source=sender)
 
-    def tell_cleared(self, content: ContentKey, *, source: str) -> None:
+    def announce_cleared(self, content: ContentKey, *, source: str) -> None:
         """Broadcast that a content was cleared at this daemon."""
         log.info('suspect_cleared', content=content, source=source)
         self.states.queue(SuspectsCleared(contents=[content]))
         for listener in self.on_cleared:
             listener(content)
 
-    def take(self, suspect: Suspect, *, source: str) -> bool:
+    def merge(self, suspect: Suspect, *, source: str) -> bool:
         """Merge and log crashes of a content; False if none is new."""
         if not self.suspects.add(suspect):
             return False
         content = suspect.content
-        quarantine_s = self.suspects.held_s(content)
+        quarantine_s = self.suspects.quarantine_left_s(content)
         if quarantine_s > 0:
             log.warning(
                 'content_held',
@@ -144,16 +146,18 @@
         records = [self._as_message(suspect) for suspect in known if suspect]
         return [
             SuspectsTold(
-                suspects=records[start_index : start_index + TOLD_AT_ONCE]
+                suspects=records[
+                    start_index : start_index + SUSPECTS_PER_MESSAGE
+                ]
             )
-            for start_index in range(0, len(records), TOLD_AT_ONCE)
+            for start_index in range(0, len(records), SUSPECTS_PER_MESSAGE)
         ]
 
     def _as_message(self, suspect: Suspect) -> SuspectTold:
-        age_s = self.clock() - suspect.last_at
+        age_s = self.clock() - suspect.last_crash_at
         return SuspectTold(
             content=suspect.content,
-            endpoints=[str(start) for start in sorted(suspect.crashed)],
+            endpoints=[str(process) for process in sorted(suspect.crashed)],
             age_ms=int(max(age_s, 0.0) * MS_PER_S),
         )
 
@@ -171,9 +175,9 @@
             if suspect is None:
                 log.warning('suspect_unreadable', peer=sender)
                 continue
-            if self.take(suspect, source=sender):
+            if self.merge(suspect, source=sender):
                 changed_contents.append(suspect.content)
-            elif self.suspects.has_run_whole(suspect.content):
+            elif self.suspects.has_completed(suspect.content):
                 self.states.queue(SuspectsCleared(contents=[suspect.content]))
             known = self.suspects.by_content.get(suspect.content)
             if known is not None and known.crashed > suspect.crashed:
@@ -202,12 +206,14 @@
             self.states.queue(SuspectsCleared(contents=list(cleared)))
 
     def _parse(self, record: SuspectTold) -> Suspect | None:
-        starts = [parse_start(text) for text in record.endpoints]
-        crashed = frozenset(start for start in starts if start is not None)
-        if not record.content or not crashed or None in starts:
+        processes = [parse_process(text) for text in record.endpoints]
+        crashed = frozenset(
+            process for process in processes if process is not None
+        )
+        if not record.content or not crashed or None in processes:
             return None
         return Suspect(
             content=ContentKey(record.content),
             crashed=crashed,
-            last_at=self.clock() - record.age_ms / MS_PER_S,
+            last_crash_at=self.clock() - record.age_ms / MS_PER_S,
         )
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/crash_trials.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/crash_probes.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(kw_only=True, slots=True)
-class CrashTrials:
+class CrashProbes:
     """Decides whether this daemon sends a probe request.
 
     Rendezvous hashing over the daemons that are ready assigns each content to
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/crash_holds.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/crash_quarantine.py
@@ -8,11 +8,11 @@
 from mimosamux_daemon.domain.names import ContentKey
 from mimosamux_daemon.domain.outcomes import Reason, Refused
 from mimosamux_daemon.gateway.crash_exchange import CrashExchange
+from mimosamux_daemon.gateway.crash_probes import CrashProbes
 from mimosamux_daemon.gateway.crash_suspects import CrashSuspects, join_ids
-from mimosamux_daemon.gateway.crash_trials import CrashTrials
 from mimosamux_daemon.logs import get_log
 
-log = get_log('crash_holds')
+log = get_log('crash_quarantine')
 
 TRIAL_RETRY_S = 1.0
 """Retry-after time in seconds of requests that are refused while a probe
@@ -20,20 +20,20 @@
 
 
 @dataclass(kw_only=True, slots=True)
-class CrashHolds:
+class CrashQuarantine:
     """Decides whether a content may be sent, and sent again."""
 
     suspects: CrashSuspects
-    trials: CrashTrials
+    probes: CrashProbes
     exchange: CrashExchange
 
     def find_refusal(self, content: ContentKey) -> Refused | None:
         """Return the refusal of a new request, None if it may be sent."""
-        left_s = self.suspects.held_s(content)
-        if left_s <= 0 and not self.suspects.is_on_trial(content):
+        left_s = self.suspects.quarantine_left_s(content)
+        if left_s <= 0 and not self.suspects.is_probe_due(content):
             return None
         if left_s <= 0:
-            if self.trials.begin(content):
+            if self.probes.begin(content):
                 log.info('content_tried', content=content)
                 return None
             left_s = TRIAL_RETRY_S
@@ -51,33 +51,33 @@
         """Whether any endpoint crashed while running a content."""
         return self.suspects.crashes(content) > 0
 
-    def is_held(self, content: ContentKey) -> bool:
+    def is_quarantined(self, content: ContentKey) -> bool:
         """Whether a content is in quarantine."""
-        return self.suspects.held_s(content) > 0
+        return self.suspects.quarantine_left_s(content) > 0
 
-    def may_go_on(self, content: ContentKey, *, is_unrun: bool) -> bool:
+    def may_retry(self, content: ContentKey, *, was_not_run: bool) -> bool:
         """Whether a failed request may be sent to another endpoint.
 
-        `is_unrun` says that the endpoint did not run the request. If it did,
+        `was_not_run` says that the endpoint did not run the request. If it did,
         the request may have crashed the endpoint, which is detected only a
         moment later.
         """
-        if self.is_held(content):
+        if self.is_quarantined(content):
             return False
-        return is_unrun or self.suspects.may_go_on(content)
+        return was_not_run or self.suspects.may_retry(content)
 
-    def note_whole(self, content: ContentKey) -> None:
+    def note_completion(self, content: ContentKey) -> None:
         """Record that a content ran from start to end at one endpoint.
 
         A stream that was resumed after an endpoint crashed does not count:
         it may crash each endpoint a few events further on and still complete.
         """
-        if self.suspects.note_whole(content):
-            self.exchange.tell_cleared(content, source='a whole run')
+        if self.suspects.note_completion(content):
+            self.exchange.announce_cleared(content, source='a whole run')
 
     def release(self, content: ContentKey) -> bool:
         """Clear a content for an operator; False if it is no suspect."""
         if not self.suspects.clear(content):
             return False
-        self.exchange.tell_cleared(content, source='an operator')
+        self.exchange.announce_cleared(content, source='an operator')
         return True
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/crash_rows.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/crash_rows.py
@@ -20,7 +20,7 @@
     Write,
 )
 from mimosamux_daemon.gateway.crash_exchange import CrashExchange
-from mimosamux_daemon.gateway.crash_suspects import Suspect, parse_start
+from mimosamux_daemon.gateway.crash_suspects import Suspect, parse_process
 from mimosamux_daemon.gateway.peer_states import PeerStates
 from mimosamux_daemon.logs import get_log
 from mimosamux_daemon.ports import Table
@@ -117,16 +117,18 @@
         suspect = self._parse(content, row)
         if suspect is None:
             return
-        is_past = self.exchange.suspects.is_past(suspect)
-        if is_past and self.clock() - suspect.last_at > ORPHAN_AGE_S:
+        is_expired = self.exchange.suspects.is_expired(suspect)
+        if is_expired and self.clock() - suspect.last_crash_at > ORPHAN_AGE_S:
             self._queue_delete(content)
         else:
-            self.exchange.take(suspect, source='the table')
+            self.exchange.merge(suspect, source='the table')
 
     def _parse(self, content: ContentKey, row: Row) -> Suspect | None:
         try:
             fields = orjson.loads(row.value)
-            starts = [parse_start(str(text)) for text in fields['endpoints']]
+            processes = [
+                parse_process(str(text)) for text in fields['endpoints']
+            ]
             at = float(fields['at'])
         except (ValueError, TypeError, KeyError) as error:
             log.error('row_unreadable', key=row.key, problem=str(error))
@@ -135,8 +137,10 @@
         age_s = 0.0 if now is None else max(now - at, 0.0)
         return Suspect(
             content=content,
-            crashed=frozenset(start for start in starts if start is not None),
-            last_at=self.clock() - age_s,
+            crashed=frozenset(
+                process for process in processes if process is not None
+            ),
+            last_crash_at=self.clock() - age_s,
         )
 
     async def _write_all(self) -> bool:
@@ -192,7 +196,9 @@
             return None
         return orjson.dumps(
             {
-                'endpoints': [str(start) for start in sorted(suspect.crashed)],
-                'at': now - (self.clock() - suspect.last_at),
+                'endpoints': [
+                    str(process) for process in sorted(suspect.crashed)
+                ],
+                'at': now - (self.clock() - suspect.last_crash_at),
             }
         )
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/crash_suspects.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/crash_suspects.py
@@ -14,20 +14,20 @@
 
 from mimosamux_daemon.domain.names import ContentKey, EndpointId
 
-HELD_FROM = 3
+QUARANTINE_CRASHES = 3
 """Crashes from which on a content is quarantined. Two would not do: where
 several endpoints end one after the other, bystanders are often present at two
 crashes."""
-FIRST_HOLD_S = 30.0
+FIRST_QUARANTINE_S = 30.0
 QUARANTINE_FACTOR = 8.0
 """Factor by which each further crash extends the quarantine."""
-LONGEST_HOLD_S = 86_400.0
+MAX_QUARANTINE_S = 86_400.0
 MAX_EXPONENT = 8
 """Largest exponent of `QUARANTINE_FACTOR`."""
-RECENT_S = 5.0
+COMPLETION_VALID_S = 5.0
 """Time after a complete run for which a content cannot become a suspect. A
 popular content is often running at several endpoints that crash at once."""
-MOST_RECENT = 1024
+MAX_REMEMBERED_CONTENTS = 1024
 """Contents whose last complete run is remembered, and contents whose cleared
 crashes are."""
 MAX_CLEARED_CRASHES = 64
@@ -35,9 +35,9 @@
 MAX_WITHDRAWN = 1024
 """Withdrawn crashes that are remembered, since late reports of them may still
 arrive."""
-KEEP_S = 600.0
+MIN_SUSPICION_S = 600.0
 """Shortest time after its last crash for which a content is suspected."""
-MOST_SUSPECTS = 4096
+MAX_SUSPECTS = 4096
 SWEEP_INTERVAL_S = 10.0
 """Time between two removals of expired suspects."""
 EVICTION_DIVISOR = 4
@@ -46,7 +46,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True, order=True)
-class EndpointStart:
+class EndpointProcess:
     """One process of an endpoint.
 
     A restarted endpoint keeps its id and gets a new incarnation.
@@ -59,12 +59,12 @@
         return f'{self.id}/{self.incarnation}'
 
 
-def parse_start(text: str) -> EndpointStart | None:
+def parse_process(text: str) -> EndpointProcess | None:
     """Parse the `str` form of a process, None if it is malformed."""
     id_, _, number = text.rpartition('/')
     if not id_ or not number.isascii() or not number.isdigit():
         return None
-    return EndpointStart(id=EndpointId(id_), incarnation=int(number))
+    return EndpointProcess(id=EndpointId(id_), incarnation=int(number))
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -72,26 +72,28 @@
     """A content and the endpoint processes that crashed while running it."""
 
     content: ContentKey
-    crashed: frozenset[EndpointStart]
-    last_at: float
+    crashed: frozenset[EndpointProcess]
+    last_crash_at: float
     """Time of the last crash in seconds, on the monotonic clock."""
 
     @property
-    def hold_s(self) -> float:
+    def quarantine_s(self) -> float:
         """Return the length of the quarantine after the last crash."""
-        beyond = len(self.crashed) - HELD_FROM
+        beyond = len(self.crashed) - QUARANTINE_CRASHES
         if beyond < 0:
             return 0.0
         # An unbounded exponent would overflow the power.
         steps = min(beyond, MAX_EXPONENT)
-        return min(FIRST_HOLD_S * QUARANTINE_FACTOR**steps, LONGEST_HOLD_S)
+        return min(
+            FIRST_QUARANTINE_S * QUARANTINE_FACTOR**steps, MAX_QUARANTINE_S
+        )
 
     def merge(self, other: 'Suspect') -> 'Suspect':
         """Return the union of both records of the same content."""
         return Suspect(
             content=self.content,
             crashed=self.crashed | other.crashed,
-            last_at=max(self.last_at, other.last_at),
+            last_crash_at=max(self.last_crash_at, other.last_crash_at),
         )
 
 
@@ -102,10 +104,10 @@
         self.by_content: dict[ContentKey, Suspect] = {}
         self._completed_at: dict[ContentKey, float] = {}
         """Time of the last complete run, the oldest first."""
-        self._cleared: dict[ContentKey, frozenset[EndpointStart]] = {}
+        self._cleared: dict[ContentKey, frozenset[EndpointProcess]] = {}
         """Crashes that a content was cleared of; late reports of them are
         ignored."""
-        self._withdrawn: dict[EndpointStart, None] = {}
+        self._withdrawn: dict[EndpointProcess, None] = {}
         """Processes whose crash was withdrawn, the oldest first."""
         self._clock = clock
         self._last_sweep_at = clock()
@@ -121,26 +123,26 @@
         merged = suspect if known is None else known.merge(suspect)
         if known is not None and merged.crashed == known.crashed:
             return False
-        if self.is_past(merged) or self.has_run_whole(suspect.content):
+        if self.is_expired(merged) or self.has_completed(suspect.content):
             return False
         self.by_content[suspect.content] = merged
         self._evict()
         return True
 
-    def note_whole(self, content: ContentKey) -> bool:
+    def note_completion(self, content: ContentKey) -> bool:
         """Record a complete run; True if that clears a suspect."""
         self._completed_at.pop(content, None)
         self._completed_at[content] = self._clock()
-        if len(self._completed_at) > MOST_RECENT:
+        if len(self._completed_at) > MAX_REMEMBERED_CONTENTS:
             del self._completed_at[next(iter(self._completed_at))]
         return self.clear(content)
 
-    def has_run_whole(self, content: ContentKey) -> bool:
-        """Whether a content had a complete run within `RECENT_S`."""
+    def has_completed(self, content: ContentKey) -> bool:
+        """Whether a content had a complete run within `COMPLETION_VALID_S`."""
         completed_at = self._completed_at.get(content)
         return (
             completed_at is not None
-            and self._clock() - completed_at < RECENT_S
+            and self._clock() - completed_at < COMPLETION_VALID_S
         )
 
     def clear(self, content: ContentKey) -> bool:
@@ -152,26 +154,28 @@
         if len(before) > MAX_CLEARED_CRASHES:
             before = frozenset()
         self._cleared[content] = before | suspect.crashed
-        if len(self._cleared) > MOST_RECENT:
+        if len(self._cleared) > MAX_REMEMBERED_CONTENTS:
             del self._cleared[next(iter(self._cleared))]
         return True
 
-    def withdraw(self, start: EndpointStart) -> tuple[ContentKey, ...] | None:
+    def withdraw(
+        self, process: EndpointProcess
+    ) -> tuple[ContentKey, ...] | None:
         """Withdraw a false crash; return the contents it was counted for.
 
         None if the crash was withdrawn before.
         """
-        if start in self._withdrawn:
+        if process in self._withdrawn:
             return None
-        self._withdrawn[start] = None
+        self._withdrawn[process] = None
         if len(self._withdrawn) > MAX_WITHDRAWN:
             del self._withdrawn[next(iter(self._withdrawn))]
         changed = []
         for content, suspect in tuple(self.by_content.items()):
-            if start not in suspect.crashed:
+            if process not in suspect.crashed:
                 continue
             changed.append(content)
-            crashed = suspect.crashed - {start}
+            crashed = suspect.crashed - {process}
             if crashed:
                 self.by_content[content] = replace(suspect, crashed=crashed)
             else:
@@ -183,61 +187,63 @@
         suspect = self._find(content)
         return 0 if suspect is None else len(suspect.crashed)
 
-    def held_s(self, content: ContentKey) -> float:
+    def quarantine_left_s(self, content: ContentKey) -> float:
         """Return the remaining quarantine of a content in seconds."""
         suspect = self._find(content)
         if suspect is None:
             return 0.0
-        return max(0.0, suspect.last_at + suspect.hold_s - self._clock())
+        return max(
+            0.0, suspect.last_crash_at + suspect.quarantine_s - self._clock()
+        )
 
-    def is_on_trial(self, content: ContentKey) -> bool:
+    def is_probe_due(self, content: ContentKey) -> bool:
         """Whether the quarantine is over and a probe request is due."""
-        is_held = self.crashes(content) >= HELD_FROM
-        return is_held and self.held_s(content) == 0
+        is_held = self.crashes(content) >= QUARANTINE_CRASHES
+        return is_held and self.quarantine_left_s(content) == 0
 
-    def may_go_on(self, content: ContentKey) -> bool:
+    def may_retry(self, content: ContentKey) -> bool:
         """Whether a content that just failed may go to another endpoint.
 
         The endpoint where it failed may have crashed without a report yet, so
         one more crash is assumed.
         """
-        return self.crashes(content) + 1 < HELD_FROM
+        return self.crashes(content) + 1 < QUARANTINE_CRASHES
 
-    def held(self) -> Iterator[Suspect]:
+    def quarantined(self) -> Iterator[Suspect]:
         """Yield the suspects that are in quarantine."""
         now = self._clock()
         for suspect in self.by_content.values():
-            if suspect.last_at + suspect.hold_s > now:
+            if suspect.last_crash_at + suspect.quarantine_s > now:
                 yield suspect
 
     def _find(self, content: ContentKey) -> Suspect | None:
         suspect = self.by_content.get(content)
-        return None if suspect is None or self.is_past(suspect) else suspect
+        return None if suspect is None or self.is_expired(suspect) else suspect
 
-    def is_past(self, suspect: Suspect) -> bool:
+    def is_expired(self, suspect: Suspect) -> bool:
         """Whether the last crash is too old for suspicion."""
-        lifetime_s = max(KEEP_S, 2 * suspect.hold_s)
-        return suspect.last_at + lifetime_s <= self._clock()
+        lifetime_s = max(MIN_SUSPICION_S, 2 * suspect.quarantine_s)
+        return suspect.last_crash_at + lifetime_s <= self._clock()
 
     def _evict(self) -> None:
         now = self._clock()
-        is_full = len(self.by_content) > MOST_SUSPECTS
+        is_full = len(self.by_content) > MAX_SUSPECTS
         if is_full or now - self._last_sweep_at >= SWEEP_INTERVAL_S:
             self._last_sweep_at = now
             for content, suspect in tuple(self.by_content.items()):
-                if self.is_past(suspect):
+                if self.is_expired(suspect):
                     del self.by_content[content]
-        if len(self.by_content) > MOST_SUSPECTS:
+        if len(self.by_content) > MAX_SUSPECTS:
             ranked = sorted(self.by_content.values(), key=_eviction_key)
-            for suspect in ranked[: MOST_SUSPECTS // EVICTION_DIVISOR]:
+            for suspect in ranked[: MAX_SUSPECTS // EVICTION_DIVISOR]:
                 del self.by_content[suspect.content]
 
 
 def _eviction_key(suspect: Suspect) -> tuple[int, float]:
     """Return the sort key for eviction; the lowest is evicted first."""
-    return len(suspect.crashed), suspect.last_at
+    return len(suspect.crashed), suspect.last_crash_at
 
 
-def join_ids(starts: Iterable[EndpointStart]) -> str:
+def join_ids(processes: Iterable[EndpointProcess]) -> str:
     """Return the distinct endpoint ids, sorted and joined by commas."""
-    return ','.join(sorted({start.id for start in starts}))
+    return ','.join(sorted({process.id for process in processes}))
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/daemon.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/daemon.py
@@ -134,7 +134,7 @@
             configuration=self.parts.configuration,
             roster=self.parts.roster,
             states=self.parts.states,
-            holds=self.parts.holds,
+            quarantine=self.parts.quarantine,
             rollouts=self.parts.rollouts,
             trials=self.parts.trials,
             duties=self.parts.duties,
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/forwarding.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/forwarding.py
@@ -24,7 +24,7 @@
 from mimosamux_daemon.gateway.admission import Admission
 from mimosamux_daemon.gateway.attempts import Attempt, AttemptRecorder
 from mimosamux_daemon.gateway.choice import Choice, Chooser
-from mimosamux_daemon.gateway.crash_holds import CrashHolds
+from mimosamux_daemon.gateway.crash_quarantine import CrashQuarantine
 from mimosamux_daemon.gateway.demand import Demand
 from mimosamux_daemon.gateway.evacuation import Evacuation
 from mimosamux_daemon.gateway.jobs import Job
@@ -83,7 +83,7 @@
     demand: Demand
     overload: Overload
     evacuation: Evacuation
-    holds: CrashHolds
+    quarantine: CrashQuarantine
     outcomes: OutcomeLog
     lag: LoopLag
     clock: Callable[[], float]
@@ -114,7 +114,7 @@
         job.caller = caller
         outcome = await self._run_unless_held(job, caller, lag_s)
         if isinstance(outcome, Delivered) and not job.is_resumed:
-            self.holds.note_whole(job.content)
+            self.quarantine.note_completion(job.content)
         if isinstance(outcome, Refused) or not job.may_have_run:
             self.admission.release_cap(job)
         self.outcomes.note_outcome(job, outcome)
@@ -123,8 +123,8 @@
     async def _run_unless_held(
         self, job: Job, caller: Caller, lag_s: float
     ) -> GatewayOutcome:
-        """Run a job unless its content is held for crashing endpoints."""
-        held = self.holds.find_refusal(job.content)
+        """Run a job unless its content is quarantined for crashing endpoints."""
+        held = self.quarantine.find_refusal(job.content)
         if held is not None:
             return held
         self._note_demand(job)
@@ -213,7 +213,8 @@
                 job.service.name, job.route.name
             ),
             excluding=job.tried,
-            is_spread=job.has_broken or self.holds.is_suspected(job.content),
+            is_spread=job.has_broken
+            or self.quarantine.is_suspected(job.content),
         )
 
     async def _attempt(
@@ -310,7 +311,7 @@
         if not isinstance(ended, CallBroken):
             attempt.note_result(failed=False)
             return ended
-        is_held = self.holds.is_held(job.content)
+        is_held = self.quarantine.is_quarantined(job.content)
         if job.last_event_id is not None and not is_held:
             copy = await self.evacuation.claim_copy(stream)
             if copy is not None:
@@ -357,7 +358,9 @@
             return False
         if job.sends >= job.route.max_endpoints:
             return False
-        if not self.holds.may_go_on(job.content, is_unrun=is_proven_not_run):
+        if not self.quarantine.may_retry(
+            job.content, was_not_run=is_proven_not_run
+        ):
             return False
         if not self._has_alternative(job):
             return False
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/monitor.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/monitor.py
@@ -9,7 +9,7 @@
 from mimosamux_daemon.control.members import MemberState
 from mimosamux_daemon.domain.names import ContentKey
 from mimosamux_daemon.gateway.configuration import ConfirmedConfiguration
-from mimosamux_daemon.gateway.crash_holds import CrashHolds
+from mimosamux_daemon.gateway.crash_quarantine import CrashQuarantine
 from mimosamux_daemon.gateway.duties import Duties
 from mimosamux_daemon.gateway.endpoint_record import EndpointRecord
 from mimosamux_daemon.gateway.metrics import GatewayMetrics
@@ -34,7 +34,7 @@
     configuration: ConfirmedConfiguration
     roster: Roster
     states: PeerStates
-    holds: CrashHolds
+    quarantine: CrashQuarantine
     rollouts: Rollouts
     trials: TrialTallies
     duties: Duties
@@ -70,7 +70,7 @@
             return
         name = incoming.head.path.removeprefix(RELEASE_PATH)
         content = ContentKey(name.decode('latin-1'))
-        if self.holds.release(content):
+        if self.quarantine.release(content):
             await reply.answer(
                 200, JSON_FIELDS, orjson.dumps({'content': content})
             )
@@ -110,8 +110,8 @@
         metrics.peers.set({'state': 'fresh'}, fresh)
         metrics.peers.set({'state': 'silent'}, silent)
         metrics.holds_lease.set({}, int(self.duties.held is not None))
-        suspects = self.holds.suspects
-        held = len(list(suspects.held()))
+        suspects = self.quarantine.suspects
+        held = len(list(suspects.quarantined()))
         metrics.suspects.set({'state': 'held'}, held)
         others = len(suspects.by_content) - held
         metrics.suspects.set({'state': 'suspected'}, others)
@@ -159,14 +159,16 @@
 
     def _held_rows(self) -> list[dict[str, object]]:
         """Return the quarantined contents."""
-        suspects = self.holds.suspects
+        suspects = self.quarantine.suspects
         return [
             {
                 'content': suspect.content,
                 'crashes': len(suspect.crashed),
-                'held_s': round(suspects.held_s(suspect.content), 1),
+                'held_s': round(
+                    suspects.quarantine_left_s(suspect.content), 1
+                ),
             }
-            for suspect in suspects.held()
+            for suspect in suspects.quarantined()
         ]
 
     def _rollout_rows(self) -> list[dict[str, object]]:
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/parts.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/parts.py
@@ -17,12 +17,12 @@
 from mimosamux_daemon.gateway.caps import UsageCaps
 from mimosamux_daemon.gateway.choice import Chooser
 from mimosamux_daemon.gateway.configuration import ConfirmedConfiguration
+from mimosamux_daemon.gateway.crash_detector import CrashDetector
 from mimosamux_daemon.gateway.crash_exchange import CrashExchange
-from mimosamux_daemon.gateway.crash_holds import CrashHolds
+from mimosamux_daemon.gateway.crash_probes import CrashProbes
+from mimosamux_daemon.gateway.crash_quarantine import CrashQuarantine
 from mimosamux_daemon.gateway.crash_rows import CrashRows
 from mimosamux_daemon.gateway.crash_suspects import CrashSuspects
-from mimosamux_daemon.gateway.crash_trials import CrashTrials
-from mimosamux_daemon.gateway.crash_watch import CrashWatch
 from mimosamux_daemon.gateway.daemon_rows import DaemonRows
 from mimosamux_daemon.gateway.demand import Demand
 from mimosamux_daemon.gateway.duties import Duties, lease_policy
@@ -138,7 +138,7 @@
             self.lag.run,
             self.evacuation.run,
             self.limits.run,
-            self.crashes.run,
+            self.crash_detector.run,
             self.crash_rows.run,
             self.rollout_rows.run,
         )
@@ -332,15 +332,15 @@
             peers=self.peers,
             clock=self._clock,
         )
-        self.crashes = CrashWatch(
+        self.crash_detector = CrashDetector(
             exchange=exchange,
             calls=self._platform.calls,
             metrics=self.metrics,
             clock=self._clock,
         )
-        self.holds = CrashHolds(
+        self.quarantine = CrashQuarantine(
             suspects=suspects,
-            trials=CrashTrials(states=self.states, clock=self._clock),
+            probes=CrashProbes(states=self.states, clock=self._clock),
             exchange=exchange,
         )
         self.crash_rows = CrashRows(
@@ -383,7 +383,7 @@
                 roster=self.roster,
                 chooser=self.chooser,
                 begun=self.begun,
-                crashes=self.crashes,
+                crash_detector=self.crash_detector,
                 limits=self.limits,
                 trials=self.trials,
                 metrics=self.metrics,
@@ -396,7 +396,7 @@
                 shares=FairShares(window_s=WINDOW_S), clock=self._clock
             ),
             evacuation=self.evacuation,
-            holds=self.holds,
+            quarantine=self.quarantine,
             outcomes=OutcomeLog(
                 metrics=self.metrics,
                 configuration=self.configuration,
--- a/tests/test_gateway_crash_exchange.py
+++ b/tests/test_gateway_crash_exchange.py
@@ -4,11 +4,14 @@
 import unittest
 
 import anyio
-from mimosamux_daemon.gateway.crash_exchange import TOLD_AT_ONCE, CrashExchange
+from mimosamux_daemon.gateway.crash_exchange import (
+    SUSPECTS_PER_MESSAGE,
+    CrashExchange,
+)
 from mimosamux_daemon.gateway.crash_suspects import (
-    MOST_SUSPECTS,
+    MAX_SUSPECTS,
     CrashSuspects,
-    EndpointStart,
+    EndpointProcess,
 )
 from mimosamux_wire import (
     CrashWithdrawn,
@@ -17,7 +20,7 @@
     SuspectTold,
 )
 
-START = EndpointStart(id='i-1')
+START = EndpointProcess(id='i-1')
 
 
 class FakeStates:
@@ -64,31 +67,31 @@
         self.receive(SuspectsTold(suspects=[told]))
 
     def test_more_contents_than_are_kept_are_told_as_far_as_they_are(self):
-        count = 2 * MOST_SUSPECTS
+        count = 2 * MAX_SUSPECTS
         contents = [f'c{number:05}' for number in range(count)]
-        self.exchange.note_crash(START, contents)
+        self.exchange.report_crash(START, contents)
         told = [len(message.suspects) for message in self.states.queued]
         self.assertEqual(sum(told), len(self.suspects.by_content))
-        self.assertLessEqual(max(told), TOLD_AT_ONCE)
+        self.assertLessEqual(max(told), SUSPECTS_PER_MESSAGE)
 
     def test_peer_that_missed_crashes_is_told_of_them(self):
-        self.exchange.note_crash(START, ['a'])
+        self.exchange.report_crash(START, ['a'])
         self.tell('a', 'i-1/0')
         self.assertEqual(self.peers.sent, [])
-        self.exchange.note_crash(EndpointStart(id='i-2'), ['a'])
+        self.exchange.report_crash(EndpointProcess(id='i-2'), ['a'])
         self.tell('a', 'i-1/0')
         ((daemon, message),) = self.peers.sent
         self.assertEqual(daemon, 'peer')
         self.assertEqual(message.suspects[0].endpoints, ['i-1/0', 'i-2/0'])
 
     def test_content_that_has_run_whole_here_is_cleared_at_the_teller(self):
-        self.suspects.note_whole('a')
+        self.suspects.note_completion('a')
         self.tell('a', 'i-1/0')
         self.assertEqual(self.suspects.by_content, {})
         self.assertEqual(self.states.queued, [SuspectsCleared(contents=['a'])])
 
     def test_crash_that_is_taken_back_is_so_for_all_and_told_once(self):
-        self.exchange.note_crash(START, ['a'])
+        self.exchange.report_crash(START, ['a'])
         self.states.queued.clear()
         self.receive(CrashWithdrawn(endpoint='i-1/0'))
         self.assertEqual(self.suspects.by_content, {})
@@ -96,7 +99,7 @@
         self.tell('a', 'i-1/0')
         self.assertEqual(self.suspects.by_content, {})
         self.assertFalse(self.exchange.withdraw(START))
-        self.assertTrue(self.exchange.withdraw(EndpointStart(id='i-2')))
+        self.assertTrue(self.exchange.withdraw(EndpointProcess(id='i-2')))
         self.assertEqual(
             self.states.queued, [CrashWithdrawn(endpoint='i-2/0')]
         )
@@ -111,7 +114,7 @@
         self.assertEqual(self.suspects.by_content, {})
 
     def test_crash_that_was_cleared_is_not_suspected_again(self):
-        self.exchange.note_crash(START, ['a'])
+        self.exchange.report_crash(START, ['a'])
         self.receive(SuspectsCleared(contents=['a']))
         self.tell('a', 'i-1/0')
         self.assertEqual(self.suspects.by_content, {})
@@ -196,17 +199,17 @@
     def have_event(self, contents):
         rng = self.rng
         exchange = rng.choice(self.exchanges)
-        start = EndpointStart(id=f'i-{rng.randrange(ENDPOINTS)}')
+        process = EndpointProcess(id=f'i-{rng.randrange(ENDPOINTS)}')
         kind = rng.random()
         if kind < 0.5:
             under_way = rng.sample(contents, rng.randint(1, len(contents)))
-            exchange.note_crash(start, under_way)
+            exchange.report_crash(process, under_way)
         elif kind < 0.85:
             content = rng.choice(contents)
-            if exchange.suspects.note_whole(content):
-                exchange.tell_cleared(content, source='a whole run')
+            if exchange.suspects.note_completion(content):
+                exchange.announce_cleared(content, source='a whole run')
         else:
-            exchange.withdraw(start)
+            exchange.withdraw(process)
 
 
 RELAYS = 4
@@ -224,8 +227,8 @@
         for seed in range(50):
             with self.subTest(seed=seed):
                 fleet = RelayFleet(seed, RELAYS)
-                fleet.exchanges[0].note_crash(START, ['a'])
-                fleet.exchanges[1].suspects.note_whole('a')
+                fleet.exchanges[0].report_crash(START, ['a'])
+                fleet.exchanges[1].suspects.note_completion('a')
                 anyio.run(fleet.come_to_rest, MOST_MESSAGES)
                 self.assertEqual(fleet.under_way, [])
 
--- a/tests/test_gateway_crash_suspects.py
+++ b/tests/test_gateway_crash_suspects.py
@@ -5,27 +5,27 @@
 from hypothesis import given
 from hypothesis import strategies as st
 from mimosamux_daemon.gateway.crash_suspects import (
-    FIRST_HOLD_S,
-    HELD_FROM,
-    KEEP_S,
-    LONGEST_HOLD_S,
-    MOST_RECENT,
-    MOST_SUSPECTS,
-    RECENT_S,
+    COMPLETION_VALID_S,
+    FIRST_QUARANTINE_S,
+    MAX_QUARANTINE_S,
+    MAX_REMEMBERED_CONTENTS,
+    MAX_SUSPECTS,
+    MIN_SUSPICION_S,
+    QUARANTINE_CRASHES,
     CrashSuspects,
-    EndpointStart,
+    EndpointProcess,
     Suspect,
-    parse_start,
+    parse_process,
 )
 
 
 def start(number, incarnation=0):
-    return EndpointStart(id=f'i-{number}', incarnation=incarnation)
+    return EndpointProcess(id=f'i-{number}', incarnation=incarnation)
 
 
 def suspect(content, *numbers, at=0.0):
     crashed = frozenset(start(number) for number in numbers)
-    return Suspect(content=content, crashed=crashed, last_at=at)
+    return Suspect(content=content, crashed=crashed, last_crash_at=at)
 
 
 CRASHES = st.lists(
@@ -42,11 +42,13 @@
         return self.suspects.add(suspect(content, *numbers, at=self.now))
 
     def test_third_crash_holds_a_content_back(self):
-        for number in range(HELD_FROM):
-            self.assertEqual(self.suspects.held_s('a'), 0.0)
+        for number in range(QUARANTINE_CRASHES):
+            self.assertEqual(self.suspects.quarantine_left_s('a'), 0.0)
             self.add('a', number)
-        self.assertEqual(self.suspects.held_s('a'), FIRST_HOLD_S)
-        self.assertEqual(self.suspects.held_s('b'), 0.0)
+        self.assertEqual(
+            self.suspects.quarantine_left_s('a'), FIRST_QUARANTINE_S
+        )
+        self.assertEqual(self.suspects.quarantine_left_s('b'), 0.0)
 
     def test_one_crash_told_by_many_daemons_counts_once(self):
         self.assertTrue(self.add('a', 1))
@@ -58,48 +60,48 @@
         for incarnation in (1, 2):
             crashed = frozenset({start(1, incarnation)})
             self.suspects.add(
-                Suspect(content='a', crashed=crashed, last_at=0.0)
+                Suspect(content='a', crashed=crashed, last_crash_at=0.0)
             )
         self.assertEqual(self.suspects.crashes('a'), 2)
 
     def test_content_that_may_crash_its_present_endpoint_goes_no_further(self):
         self.add('a', 1)
-        self.assertTrue(self.suspects.may_go_on('a'))
+        self.assertTrue(self.suspects.may_retry('a'))
         self.add('a', 2)
-        self.assertFalse(self.suspects.may_go_on('a'))
+        self.assertFalse(self.suspects.may_retry('a'))
 
     def test_hold_ends_and_is_longer_after_each_further_crash(self):
         self.add('a', 1, 2, 3)
         holds = []
         for number in range(4, 20):
-            hold_s = self.suspects.held_s('a')
-            holds.append(hold_s)
-            self.now += hold_s
-            self.assertTrue(self.suspects.is_on_trial('a'))
-            self.assertFalse(self.suspects.may_go_on('a'))
+            quarantine_s = self.suspects.quarantine_left_s('a')
+            holds.append(quarantine_s)
+            self.now += quarantine_s
+            self.assertTrue(self.suspects.is_probe_due('a'))
+            self.assertFalse(self.suspects.may_retry('a'))
             self.add('a', number)
-            self.assertFalse(self.suspects.is_on_trial('a'))
+            self.assertFalse(self.suspects.is_probe_due('a'))
         self.assertEqual(holds, sorted(holds))
         self.assertEqual(holds[:2], [30.0, 240.0])
-        self.assertEqual(holds[-1], LONGEST_HOLD_S)
+        self.assertEqual(holds[-1], MAX_QUARANTINE_S)
 
     def test_whole_run_clears_a_content(self):
         self.add('a', 1, 2, 3)
-        self.assertTrue(self.suspects.note_whole('a'))
-        self.assertEqual(self.suspects.held_s('a'), 0.0)
-        self.assertFalse(self.suspects.note_whole('a'))
+        self.assertTrue(self.suspects.note_completion('a'))
+        self.assertEqual(self.suspects.quarantine_left_s('a'), 0.0)
+        self.assertFalse(self.suspects.note_completion('a'))
 
     def test_content_that_has_just_run_whole_is_not_suspected(self):
-        self.suspects.note_whole('a')
+        self.suspects.note_completion('a')
         self.assertFalse(self.add('a', 1, 2, 3))
-        self.now = RECENT_S
+        self.now = COMPLETION_VALID_S
         self.assertTrue(self.add('a', 1, 2, 3))
 
     def test_whole_runs_of_many_contents_take_bounded_memory(self):
-        for number in range(MOST_RECENT + 1):
-            self.suspects.note_whole(f'c{number}')
-        self.assertFalse(self.suspects.has_run_whole('c0'))
-        self.assertTrue(self.suspects.has_run_whole('c1'))
+        for number in range(MAX_REMEMBERED_CONTENTS + 1):
+            self.suspects.note_completion(f'c{number}')
+        self.assertFalse(self.suspects.has_completed('c0'))
+        self.assertTrue(self.suspects.has_completed('c1'))
 
     def test_crash_that_is_taken_back_counts_for_nothing(self):
         self.add('a', 1, 2, 3)
@@ -107,7 +109,7 @@
         changed = self.suspects.withdraw(start(1))
         self.assertEqual(sorted(changed), ['a', 'b'])
         self.assertEqual(self.suspects.crashes('a'), 2)
-        self.assertEqual(self.suspects.held_s('a'), 0.0)
+        self.assertEqual(self.suspects.quarantine_left_s('a'), 0.0)
         self.assertNotIn('b', self.suspects.by_content)
         self.assertFalse(self.add('b', 1))
         self.assertIsNone(self.suspects.withdraw(start(1)))
@@ -115,27 +117,27 @@
 
     def test_contents_are_forgotten_in_time(self):
         self.add('a', 1)
-        self.now = KEEP_S
+        self.now = MIN_SUSPICION_S
         self.add('b', 1)
         self.assertEqual(list(self.suspects.by_content), ['b'])
-        old = suspect('c', 1, at=self.now - KEEP_S)
+        old = suspect('c', 1, at=self.now - MIN_SUSPICION_S)
         self.assertFalse(self.suspects.add(old))
 
     def test_many_contents_take_bounded_memory_and_the_held_one_stays(self):
         self.add('held', 1, 2, 3)
-        for number in range(MOST_SUSPECTS + 100):
+        for number in range(MAX_SUSPECTS + 100):
             self.now += 0.001
             self.add(f'c{number}', 1)
-            self.assertLessEqual(len(self.suspects.by_content), MOST_SUSPECTS)
-        self.assertIn(f'c{MOST_SUSPECTS + 99}', self.suspects.by_content)
+            self.assertLessEqual(len(self.suspects.by_content), MAX_SUSPECTS)
+        self.assertIn(f'c{MAX_SUSPECTS + 99}', self.suspects.by_content)
         self.assertNotIn('c0', self.suspects.by_content)
-        self.assertGreater(self.suspects.held_s('held'), 0.0)
+        self.assertGreater(self.suspects.quarantine_left_s('held'), 0.0)
 
     def test_starts_are_read_as_they_are_written(self):
         for text in ('i-1/0', 'a/b/17'):
-            self.assertEqual(str(parse_start(text)), text)
+            self.assertEqual(str(parse_process(text)), text)
         for text in ('', 'i-1', 'i-1/', '/1', 'i-1/x', 'i-1/-1'):
-            self.assertIsNone(parse_start(text))
+            self.assertIsNone(parse_process(text))
 
     @given(crashes=CRASHES, data=st.data())
     def test_daemons_know_the_same_in_whatever_order_they_hear(
--- a/tests/test_gateway_crashing_requests.py
+++ b/tests/test_gateway_crashing_requests.py
@@ -74,7 +74,7 @@
 
 
 def suspects_of(site, number=0):
-    return site.daemons[number].daemon.parts.holds.suspects
+    return site.daemons[number].daemon.parts.quarantine.suspects
 
 
 class TestHeldRequests(unittest.TestCase):
@@ -140,9 +140,9 @@
                 site = crashing.site
                 await crashes.have_held(crashing, LIST)
                 crashing.targets.clear()
-                (held,) = suspects_of(site).held()
+                (held,) = suspects_of(site).quarantined()
                 parts = site.daemons[1].daemon.parts
-                released = parts.holds.release(held.content)
+                released = parts.quarantine.release(held.content)
                 await anyio.sleep(0.5)
                 answers = await crashes.repeat(site, LIST, for_s=2.0)
                 rows = site.store.get('crashes', held.content)
@@ -257,7 +257,7 @@
                 await crashes.crash_thrice(crashing, LIST)
                 await anyio.sleep(crashes.BEHIND_S)
                 return [
-                    len(list(suspects_of(site, number).held()))
+                    len(list(suspects_of(site, number).quarantined()))
                     for number in range(15)
                 ]
 
@@ -284,8 +284,8 @@
                 await anyio.sleep(32.0)
                 before = len(crashing.crashes)
                 answers = await crashes.repeat(site, LIST, for_s=30.0)
-                (held,) = suspects_of(site).held()
-                left_s = suspects_of(site).held_s(held.content)
+                (held,) = suspects_of(site).quarantined()
+                left_s = suspects_of(site).quarantine_left_s(held.content)
                 return len(crashing.crashes) - before, left_s, len(answers)
 
         crashed, left_s, sent = run_paused(check)
@@ -306,7 +306,7 @@
     suspected = []
     async with open_site(engines=0, apps=8) as site:
         for handle in site.daemons:
-            exchange = handle.daemon.parts.crashes.exchange
+            exchange = handle.daemon.parts.crash_detector.exchange
             exchange.on_suspected.append(suspected.append)
         caller = site.caller()
 
