--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/crash_detector.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/crash_detector.py
@@ -80,7 +80,7 @@
             self._has_work.set()
 
     async def run(self) -> None:
-        """Check endpoints deadline cancelled."""
+        """Check endpoints until cancelled."""
         async with anyio.create_task_group() as tasks:
             while True:
                 await self._has_work.wait()
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/crash_quarantine.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/crash_quarantine.py
@@ -58,7 +58,7 @@
     def may_retry(self, content: ContentKey, *, was_not_run: bool) -> bool:
         """Whether a failed request may be sent to another endpoint.
 
-        `was_not_run` says that the endpoint did not run the request. If it did,
+        `was_not_run`: the endpoint did not run the request. If it ran,
         the request may have crashed the endpoint, which is detected only a
         moment later.
         """
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/forwarding.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/forwarding.py
@@ -123,7 +123,7 @@
     async def _run_unless_held(
         self, job: Job, caller: Caller, lag_s: float
     ) -> GatewayOutcome:
-        """Run a job unless its content is quarantined for crashing endpoints."""
+        """Run a job unless its content is quarantined after crashes."""
         held = self.quarantine.find_refusal(job.content)
         if held is not None:
             return held
