--- a/benchmarks/bench_gateway.py
+++ b/benchmarks/bench_gateway.py
@@ -132,7 +132,7 @@
                 region='r',
                 entry_address=self.id,
             ),
-            lifetime=self.fleet.rng.getrandbits(62),
+            incarnation=self.fleet.rng.getrandbits(62),
             peers=self,
             clock=lambda: self.fleet.now,
             rng=self.fleet.rng,
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/begun_counts.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/begun_counts.py
@@ -70,7 +70,7 @@
 
     def take(self, peer: PeerState, digest: StateDigest) -> None:
         """Take the counts of a peer in place of those it told before."""
-        process = _Process(daemon=peer.place.id, lifetime=peer.lifetime)
+        process = _Process(daemon=peer.place.id, lifetime=peer.incarnation)
         windows = self._by_process.setdefault(process, {})
         for window in {use.window for use in digest.windows}:
             windows[window] = Counter()
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/cap_loans.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/cap_loans.py
@@ -96,7 +96,7 @@
                 lender,
                 CapLoanReturned(
                     account=account,
-                    lifetime=self.states.lifetime,
+                    lifetime=self.states.incarnation,
                     number=number,
                 ),
             )
@@ -124,7 +124,7 @@
             lender,
             CapLoanWanted(
                 account=account,
-                lifetime=self.states.lifetime,
+                lifetime=self.states.incarnation,
                 number=number,
                 share=share,
             ),
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/caps.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/caps.py
@@ -352,14 +352,14 @@
     def take(self, peer: PeerState, digest: StateDigest) -> None:
         """Add what a peer has let through since it told last."""
         now, id_ = self._clock(), peer.place.id
-        is_known = self._lifetimes_by_peer.get(id_) == peer.lifetime
-        self._lifetimes_by_peer[id_] = peer.lifetime
+        is_known = self._lifetimes_by_peer.get(id_) == peer.incarnation
+        self._lifetimes_by_peer[id_] = peer.incarnation
         for use in digest.caps:
             state = self._by_id.setdefault(AccountId(use.account), _Account())
             told = state.told_by_peer.get(id_)
             state.known_by_peer[id_] = use.recent
-            state.told_by_peer[id_] = (peer.lifetime, use.used)
-            if told is not None and told[0] != peer.lifetime:
+            state.told_by_peer[id_] = (peer.incarnation, use.used)
+            if told is not None and told[0] != peer.incarnation:
                 state.uses.add(now, use.used + self._untold(state))
             elif told is not None:
                 state.uses.add(now, use.used - told[1])
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/confirmations.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/confirmations.py
@@ -70,14 +70,14 @@
         of_group = id_ in members
         heard = [
             DigestHeard(
-                lifetime=peer.lifetime,
+                lifetime=peer.incarnation,
                 sequence=self._taken_by_all(peer, stands_for),
             )
             for peer in self._by_id.values()
             if id_ in (peer.place.id, peer.via)
             or (of_group and peer.place.id in members)
         ]
-        lifetimes = [peer.lifetime for peer in stands_for]
+        lifetimes = [peer.incarnation for peer in stands_for]
         return GroupHeard(members=[self._lifetime, *lifetimes], heard=heard)
 
     def _taken_by_all(
@@ -85,7 +85,7 @@
     ) -> int:
         taken = [
             self._relays.neighbour(member.place.id).acked_sequence(
-                origin.lifetime
+                origin.incarnation
             )
             for member in members
             if member is not origin
@@ -97,7 +97,7 @@
     ) -> None:
         """Take which of this daemon's digests others have."""
         peer = self._by_id.get(sender)
-        if peer is not None and peer.lifetime == neighbour.lifetime:
+        if peer is not None and peer.incarnation == neighbour.incarnation:
             self.note_heard(peer, neighbour.acked_sequence(self._lifetime))
         heard_by_lifetime: dict[int, int] = {}
         for group in batch.confirmed:
@@ -110,7 +110,7 @@
                         )
         if heard_by_lifetime:
             for each in self._by_id.values():
-                sequence = heard_by_lifetime.get(each.lifetime)
+                sequence = heard_by_lifetime.get(each.incarnation)
                 if sequence is not None:
                     self.note_heard(each, sequence)
         if batch.confirmed and not batch.is_member:
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/demand.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/demand.py
@@ -103,12 +103,12 @@
         for demand in digest.demands:
             history = self._history(ServiceName(demand.service))
             incarnation, before = history.reported_by_peer.get(
-                peer.place.id, (peer.lifetime, demand.busy_ms)
+                peer.place.id, (peer.incarnation, demand.busy_ms)
             )
-            if incarnation != peer.lifetime:
+            if incarnation != peer.incarnation:
                 before = 0
             history.reported_by_peer[peer.place.id] = (
-                peer.lifetime,
+                peer.incarnation,
                 demand.busy_ms,
             )
             self._add(history, max(0, demand.busy_ms - before) / 1000)
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/duties.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/duties.py
@@ -72,7 +72,7 @@
                 table=table,
                 name=LEASE_NAME,
                 holder=DaemonId(states.place.id),
-                incarnation=states.lifetime,
+                incarnation=states.incarnation,
                 wall_clock=wall_clock,
                 policy=policy,
                 clock=clock,
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/neighbours.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/neighbours.py
@@ -22,7 +22,7 @@
 each part of a prompt is in a single digest, so older ones are needed too."""
 
 Sequences = Mapping[int, int]
-"""Sequence number of the newest digest, by the lifetime of its process."""
+"""Sequence number of the newest digest, by the incarnation of its process."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -37,7 +37,7 @@
 class RecentDigests:
     """The newest digests of one process, oldest first."""
 
-    lifetime: int
+    incarnation: int
     entries: deque[EncodedDigest] = field(
         default_factory=lambda: deque(maxlen=KEPT_DIGESTS)
     )
@@ -73,7 +73,7 @@
     """Until when it counts as using this daemon as its relay."""
     skipped_until: float = 0.0
     """Until when it is not tried as a relay, since it did not answer."""
-    lifetime: int = 0
+    incarnation: int = 0
     received_batch: int = 0
     """Newest batch received from it without a gap before it."""
     _reported_batch: int = 0
@@ -83,19 +83,19 @@
     _resent_at: int = 0
     """Batch number from which unacknowledged batches are counted."""
     _sent_sequences: dict[int, int] = field(default_factory=dict)
-    """Newest digest sent to it, by lifetime."""
+    """Newest digest sent to it, by incarnation."""
     _unacked_batches: deque[_Batch] = field(
         default_factory=lambda: deque(maxlen=KEPT_BATCHES)
     )
     _acked_sequences: Sequences = field(default_factory=dict)
 
-    def take(self, batch: StateBatch, *, own_lifetime: int) -> None:
+    def take(self, batch: StateBatch, *, own_incarnation: int) -> None:
         """Update numbers and acknowledgements from a received batch."""
-        if batch.lifetime != self.lifetime:
+        if batch.lifetime != self.incarnation:
             self._reset(batch.lifetime)
         if batch.after <= self.received_batch:
             self.received_batch = max(self.received_batch, batch.number)
-        if batch.taken_lifetime == own_lifetime:
+        if batch.taken_lifetime == own_incarnation:
             self._note_ack(batch.taken)
 
     def fill(
@@ -116,7 +116,7 @@
         added: dict[int, int] = {}
         is_complete = True
         for digests in offered:
-            sent = self._sent_sequences.get(digests.lifetime, 0)
+            sent = self._sent_sequences.get(digests.incarnation, 0)
             if digests.newest_sequence <= sent:
                 is_complete = False
                 continue
@@ -126,7 +126,7 @@
             if is_resend:
                 entries = entries[-1:]
             batch.digests.extend(each.data for each in entries)
-            added[digests.lifetime] = digests.newest_sequence
+            added[digests.incarnation] = digests.newest_sequence
         owes_ack = (
             batch.is_member and self.received_batch > self._reported_batch
         )
@@ -140,7 +140,10 @@
         batch.after = 0 if is_complete else self.sent_batch
         self.sent_batch += 1
         batch.number = self.sent_batch
-        batch.taken_lifetime, batch.taken = self.lifetime, self.received_batch
+        batch.taken_lifetime, batch.taken = (
+            self.incarnation,
+            self.received_batch,
+        )
         self._reported_batch = self.received_batch
         self._unacked_batches.append(
             _Batch(
@@ -149,9 +152,9 @@
         )
         return True
 
-    def acked_sequence(self, lifetime: int) -> int:
+    def acked_sequence(self, incarnation: int) -> int:
         """Return the newest digest of a process that it acknowledged."""
-        return self._acked_sequences.get(lifetime, 0)
+        return self._acked_sequences.get(incarnation, 0)
 
     def _note_ack(self, number: int) -> None:
         if number < self.acked_batch:
@@ -162,9 +165,9 @@
         ):
             self._acked_sequences = self._unacked_batches.popleft().sequences
 
-    def _reset(self, lifetime: int) -> None:
+    def _reset(self, incarnation: int) -> None:
         """Start over with a new process, which has no earlier digest."""
-        self.lifetime = lifetime
+        self.incarnation = incarnation
         self.received_batch = self.acked_batch = self._reported_batch = 0
         self._resent_at = self.sent_batch
         self._sent_sequences.clear()
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/parts.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/parts.py
@@ -164,7 +164,7 @@
         )
         self.states = PeerStates(
             place=settings.place,
-            lifetime=rng.getrandbits(62),
+            incarnation=rng.getrandbits(62),
             peers=self.peers,
             clock=self._clock,
             rng=rng,
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/peer_records.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/peer_records.py
@@ -28,7 +28,7 @@
     """State of one peer, from its newest digest."""
 
     place: DaemonPlace
-    lifetime: int
+    incarnation: int
     """Identifies the process; a restarted daemon has another one."""
     state: MemberState
     heard_at: float
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/peer_states.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/peer_states.py
@@ -76,8 +76,8 @@
 """Peers that must be silent for this: a single one may have died."""
 FORGET_AFTER_S = 30.0
 """Silence after which a daemon is removed, and nothing is sent to it."""
-MAX_ENDED_LIFETIMES = 4096
-"""Ended processes that are remembered, to reject their late digests."""
+MAX_ENDED_INCARNATIONS = 4096
+"""Ended incarnations that are remembered, to reject their late digests."""
 
 
 class DigestPart(Protocol):
@@ -97,13 +97,13 @@
         self,
         *,
         place: DaemonPlace,
-        lifetime: int,
+        incarnation: int,
         peers: PeerLinks,
         clock: Callable[[], float],
         rng: random.Random,
     ) -> None:
         self.place = place
-        self.lifetime = lifetime
+        self.incarnation = incarnation
         self.state = MemberState.JOINING
         self.by_id: dict[DaemonId, PeerState] = {}
         """Peers of which at least one digest arrived."""
@@ -126,15 +126,15 @@
             is_fresh=self._is_fresh,
             is_relay=self._is_relay,
         )
-        self._own_digests = RecentDigests(lifetime=lifetime)
+        self._own_digests = RecentDigests(incarnation=incarnation)
         self._confirmations = Confirmations(
-            lifetime=lifetime,
+            lifetime=incarnation,
             by_id=self.by_id,
             relays=self._relays,
             clock=clock,
         )
         self._ended: dict[int, None] = {}
-        """Lifetimes of processes that a restart has replaced, oldest first."""
+        """Incarnations that a restart has ended, oldest first."""
         self._sequence = 0
         self._digest_sent_at = -math.inf
         self._target_count = 0
@@ -321,7 +321,7 @@
         if not self._unbatched_ids:
             return
         digest.heard = [
-            DigestHeard(lifetime=peer.lifetime, sequence=peer.sequence)
+            DigestHeard(lifetime=peer.incarnation, sequence=peer.sequence)
             for peer in self.fresh()
         ]
         for id_ in self._unbatched_ids:
@@ -335,7 +335,7 @@
             region=self.place.region,
             entry_address=self.place.entry_address,
             link_mbps=self.place.link_mbps,
-            lifetime=self.lifetime,
+            lifetime=self.incarnation,
             sequence=self._sequence,
             state=self.state,
             is_relay=self._relays.acts_as_relay,
@@ -355,7 +355,7 @@
     ) -> StateBatch | None:
         """Return a batch of what is new to a daemon, None if nothing is."""
         relays = self._relays
-        batch = StateBatch(lifetime=self.lifetime)
+        batch = StateBatch(lifetime=self.incarnation)
         batch.is_member = id_ in relays.uplinks
         digests = self._digests_for(id_, members)
         if not relays.neighbour(id_).fill(batch, digests):
@@ -396,8 +396,8 @@
             return
         self.add_daemons([sender])
         neighbour = self._relays.neighbour(sender)
-        is_new = neighbour.lifetime != batch.lifetime
-        neighbour.take(batch, own_lifetime=self.lifetime)
+        is_new = neighbour.incarnation != batch.lifetime
+        neighbour.take(batch, own_incarnation=self.incarnation)
         neighbour.heard_at = self._clock()
         if batch.is_member:
             self._relays.note_member(neighbour)
@@ -419,7 +419,7 @@
         self._take(digest, encode(digest, EnvelopeType.ONEWAY, 0), sender)
         peer = self.by_id.get(sender)
         for heard in digest.heard:
-            if peer is not None and heard.lifetime == self.lifetime:
+            if peer is not None and heard.lifetime == self.incarnation:
                 self._confirmations.note_heard(peer, heard.sequence)
         self._confirmations.wake_waiters()
         if is_new:
@@ -438,7 +438,7 @@
         peer = self.by_id.get(id_)
         if digest.lifetime in self._ended:
             return
-        if peer is None or peer.lifetime != digest.lifetime:
+        if peer is None or peer.incarnation != digest.lifetime:
             peer = self._start_process(id_, digest, peer, via)
         elif digest.sequence <= peer.sequence:
             return
@@ -468,8 +468,8 @@
         if previous is not None:
             # Digests of the earlier process may still be in transit. If they
             # were accepted, its counters would be counted twice.
-            self._ended[previous.lifetime] = None
-            if len(self._ended) > MAX_ENDED_LIFETIMES:
+            self._ended[previous.incarnation] = None
+            if len(self._ended) > MAX_ENDED_INCARNATIONS:
                 del self._ended[next(iter(self._ended))]
         place = place_of(digest)
         self.add_daemons(
@@ -477,11 +477,11 @@
         )
         peer = self.by_id[id_] = PeerState(
             place=place,
-            lifetime=digest.lifetime,
+            incarnation=digest.lifetime,
             state=MemberState.JOINING,
             heard_at=self._clock(),
             via=via,
-            digests=RecentDigests(lifetime=digest.lifetime),
+            digests=RecentDigests(incarnation=digest.lifetime),
         )
         return peer
 
--- a/tests/support/daemon_model.py
+++ b/tests/support/daemon_model.py
@@ -109,7 +109,7 @@
                 region='r',
                 entry_address=str(number),
             ),
-            lifetime=model.rng.getrandbits(60),
+            incarnation=model.rng.getrandbits(60),
             peers=self,
             clock=lambda: model.now,
             rng=model.rng,
--- a/tests/support/site_schedule.py
+++ b/tests/support/site_schedule.py
@@ -166,7 +166,7 @@
             await anyio.sleep(0.05)
             for handle in self.site.daemons:
                 version = handle.daemon.parts.configuration.current.version
-                lifetime = handle.daemon.parts.states.lifetime
+                lifetime = handle.daemon.parts.states.incarnation
                 before = self.versions.get(lifetime, 0)
                 if version < before:
                     self.log.reverted.append(f'{before} became {version}')
--- a/tests/test_gateway_relays.py
+++ b/tests/test_gateway_relays.py
@@ -236,12 +236,12 @@
         fleet.pass_s(6)
         self.assertEqual(fleet.least_fresh(), 29)
         lifetimes = {
-            peer.place.id: peer.lifetime
+            peer.place.id: peer.incarnation
             for peer in fleet.daemons[0].states.by_id.values()
         }
         for daemon in fleet.daemons[1:]:
             id_ = daemon.states.place.id
-            self.assertEqual(lifetimes[id_], daemon.states.lifetime)
+            self.assertEqual(lifetimes[id_], daemon.states.incarnation)
 
     def test_member_that_is_told_nothing_holds_its_peers_back(self):
         """A member's relay cannot reach it, and it reaches its relay.
@@ -276,7 +276,7 @@
 
     def describe(self):
         return {
-            id_: (peer.lifetime, peer.state, peer.acked_sequence)
+            id_: (peer.incarnation, peer.state, peer.acked_sequence)
             for id_, peer in self.daemon.states.by_id.items()
         }
 
@@ -304,7 +304,7 @@
         before = self.describe()
         self.give(
             StateDigest(
-                address=old.place.id, lifetime=old.lifetime, sequence=999
+                address=old.place.id, lifetime=old.incarnation, sequence=999
             ),
             sender='3',
         )
@@ -317,12 +317,12 @@
         self.fleet.pass_s(3)
         before = self.describe()
         digest = StateDigest(
-            address=old.place.id, lifetime=old.lifetime, sequence=999
+            address=old.place.id, lifetime=old.incarnation, sequence=999
         )
         relay = self.fleet.daemons[1].states
         self.give(
             StateBatch(
-                lifetime=relay.lifetime,
+                lifetime=relay.incarnation,
                 digests=[encode(digest, EnvelopeType.ONEWAY, 0)],
             )
         )
@@ -340,15 +340,18 @@
     def setUp(self):
         self.sender = Neighbour(sent_batch=0)
         self.receiver = Neighbour(sent_batch=0)
-        self.news = [RecentDigests(lifetime=11), RecentDigests(lifetime=22)]
+        self.news = [
+            RecentDigests(incarnation=11),
+            RecentDigests(incarnation=22),
+        ]
         for news in self.news:
             news.entries.append(EncodedDigest(sequence=1, data=b'1'))
-        self.sender.take(StateBatch(lifetime=2), own_lifetime=1)
+        self.sender.take(StateBatch(lifetime=2), own_incarnation=1)
 
     def send(self, *news, is_lost=False):
         batch = StateBatch(lifetime=1)
         if self.sender.fill(batch, news) and not is_lost:
-            self.receiver.take(batch, own_lifetime=2)
+            self.receiver.take(batch, own_incarnation=2)
 
     def answer(self):
         self.sender.take(
@@ -357,7 +360,7 @@
                 taken_lifetime=1,
                 taken=self.receiver.received_batch,
             ),
-            own_lifetime=1,
+            own_incarnation=1,
         )
 
     def tell_more(self, news):
--- a/tests/test_gateway_restarts.py
+++ b/tests/test_gateway_restarts.py
@@ -73,11 +73,11 @@
     )
     return PeerState(
         place=place,
-        lifetime=1,
+        incarnation=1,
         state=MemberState.READY,
         heard_at=0.0,
         via=PEER,
-        digests=RecentDigests(lifetime=1),
+        digests=RecentDigests(incarnation=1),
     )
 
 
