--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/__init__.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""Passing requests on as they are: routes, endpoints, limits, duties."""
+"""Gateway: forwards requests to endpoints, with admission, scaling, duties."""
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/daemon.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/daemon.py
@@ -1,4 +1,4 @@
-"""One daemon that passes requests on: its listeners, start and stop."""
+"""A gateway daemon: its listeners, start, readiness and stop."""
 
 import random
 import time
@@ -24,14 +24,14 @@
 
 log = get_log('daemon')
 
-FIRST_READ_S = 0.5
-"""Longest wait of a start for the configuration and the endpoints. They come
-within 20 ms of it; without them each request that waits to be accepted would
-be told to come back, 0.5 s later."""
+FIRST_READ_TIMEOUT_S = 0.5
+"""Longest wait for the first read of the tables before the daemon listens.
+They arrive within 20 ms of the start. Without them, requests that wait to be
+accepted would be refused, to be retried 0.5 s later."""
 
 
 class GatewayDaemon:
-    """One daemon; `run` returns after `stop` was asked for."""
+    """One daemon; `run` serves until `stop` is called."""
 
     def __init__(
         self,
@@ -66,24 +66,24 @@
         )
 
     def stop(self) -> None:
-        """Ask for a graceful stop."""
+        """Begin a graceful stop."""
         self._stopping.set()
 
     def reload(self, settings: GatewaySettings) -> None:
-        """Take what may change while the daemon runs."""
+        """Apply the settings that may change at run time: the seeds."""
         log.info('settings_reloaded', seeds=len(settings.seeds))
         self.parts.states.add_daemons(settings.seeds)
 
     async def run(self) -> None:
-        """Serve until the stop, and finish what is under way by then."""
+        """Serve until the stop, then finish the requests in flight."""
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._platform.run)
             tasks.start_soon(self.parts.peers.run)
             await self.parts.peers.listening.wait()
             self.parts.states.add_daemons(self.settings.seeds)
-            for loop in self.parts.loops():
-                tasks.start_soon(loop)
-            with anyio.move_on_after(FIRST_READ_S):
+            for task in self.parts.background_tasks():
+                tasks.start_soon(task)
+            with anyio.move_on_after(FIRST_READ_TIMEOUT_S):
                 await self.parts.wait_for_first_read()
             await self._listen(tasks)
             tasks.start_soon(self._become_ready)
@@ -94,7 +94,7 @@
         log.info('stopped', daemon=self.settings.daemon)
 
     def is_ready(self) -> bool:
-        """Whether callers may be sent here."""
+        """Whether discovery may direct clients to this daemon."""
         return self.parts.states.state is MemberState.READY
 
     def _build_server(self, handler: Handler) -> Http1Server:
@@ -104,14 +104,16 @@
         )
 
     async def _listen(self, tasks: anyio.abc.TaskGroup) -> None:
-        questions = self._build_server(
+        discovery_server = self._build_server(
             self._platform.handle_questions(
                 Discovery(states=self.parts.states, clock=self._clock),
                 self.is_ready,
             )
         )
         for address in {self.settings.discovery, self.settings.readiness}:
-            await self._serve(tasks, address, questions, anyio.CancelScope())
+            await self._serve(
+                tasks, address, discovery_server, anyio.CancelScope()
+            )
         if self.settings.metrics:
             monitor = self._build_server(self._build_monitor().handle)
             await self._serve(
@@ -152,14 +154,15 @@
         listener = await self._network.listen(address)
 
         async def accept() -> None:
-            # Connections belong to the daemon's tasks: they outlive the
-            # end of accepting.
+            # Connections run in the daemon's task group, not in `scope`: they
+            # continue after the daemon stops accepting new ones.
             with scope:
                 await listener.serve(server.serve, tasks)
 
         tasks.start_soon(accept)
 
     async def _become_ready(self) -> None:
+        """Report the daemon as ready once it has a configuration."""
         while self.parts.configuration.current.version == 0:
             await self.parts.configuration.changed.wait()
         if self.parts.states.state is MemberState.JOINING:
@@ -169,6 +172,7 @@
         self.started.set()
 
     async def _run_duties(self) -> None:
+        """Compete for the lease of the duties, if the platform has any."""
         calls = self._platform.duties
         if calls is None:
             return
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/parts.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/parts.py
@@ -1,4 +1,7 @@
-"""The parts of a daemon that passes requests on, put together."""
+"""Composition root of a gateway daemon: builds its parts and connects them.
+
+`GatewayDaemon` adds the listeners, the start and the stop.
+"""
 
 import random
 from collections.abc import Callable, Coroutine
@@ -63,22 +66,27 @@
 from mimosamux_daemon.ports.network import Network
 from mimosamux_daemon.serving.fair_shares import FairShares
 
-CONFIGURATION_WAIT_S = 1.3
-"""Time after which the platform says that nothing has changed. Twice this
-is the age that the confirmation of a key can reach in calm."""
-ENDPOINTS_WAIT_S = 1.0
-"""The same for the list of endpoints, at the most."""
-ENDPOINTS_WAIT_SHARE = 0.5
-"""Part of the time that an endpoint serves on after it was listed as leaving,
-after which the list is read anew at the latest."""
-KEY_SLACK_S = 0.5
-"""Part of the revocation bound for a request's way to the daemon and for
-clocks that run differently."""
-ABSENCE_S = 3.0
+CONFIGURATION_POLL_S = 1.3
+"""Longest long poll of the configuration. In normal operation the
+confirmation of a key gets at most twice as old."""
+ENDPOINTS_POLL_S = 1.0
+"""Upper bound of the long poll of the list of endpoints."""
+ENDPOINTS_POLL_SHARE = 0.5
+"""Longest long poll of the list, as a part of the time for which an endpoint
+continues to serve after it was listed as leaving."""
+REVOCATION_SLACK_S = 0.5
+"""Part of the revocation bound that is reserved for the transit time of a
+request to the daemon and for clock drift."""
+ABSENCE_MAX_AGE_S = 3.0
+"""Greatest age of the configuration at which an unknown route or key is
+refused as nonexistent; beyond it, the item may have been added since."""
 
 
 class GatewayParts:
-    """Everything that a daemon consists of beside its listeners."""
+    """All parts of a daemon except its listeners.
+
+    The builders run in the order of their dependencies.
+    """
 
     def __init__(
         self,
@@ -106,7 +114,7 @@
         self._build_rollouts(shared_time)
         self._build_configuration(shared_time)
         self._build_endpoints(shared_time)
-        self._build_counts(shared_time)
+        self._build_usage(shared_time)
         self._build_duties(wall_clock)
         self._build_crashes(shared_time)
         self._build_forwarding()
@@ -125,8 +133,10 @@
             self.trials,
         ]
 
-    def loops(self) -> tuple[Callable[[], Coroutine[Any, Any, None]], ...]:
-        """Return what runs for as long as the daemon does."""
+    def background_tasks(
+        self,
+    ) -> tuple[Callable[[], Coroutine[Any, Any, None]], ...]:
+        """Return the functions to run for the lifetime of the daemon."""
         return (
             self.states.run,
             self.rows.run,
@@ -144,7 +154,7 @@
         )
 
     async def wait_for_first_read(self) -> None:
-        """Wait until configuration, endpoints and suspects were read."""
+        """Wait until each table that requests depend on was read once."""
         await self.configuration_reader.first_read.wait()
         await self.endpoint_reader.first_read.wait()
         await self.crash_rows.first_read.wait()
@@ -157,8 +167,8 @@
             daemon=settings.place.id,
             host=host,
             port=int(port),
-            # The platform's network is closed, and its settings hold no
-            # secret that the daemons could share.
+            # The platform's network is isolated, and its settings have no
+            # shared secret for the daemons.
             security=LinkSecurity(secret=b''),
             network=network,
         )
@@ -198,7 +208,7 @@
         self.configuration = ConfirmedConfiguration(clock=self._clock)
         self.configuration_reader = FeedReader(
             name='configuration',
-            sharing=self._share('configuration', shared_time),
+            sharing=self._build_sharing('configuration', shared_time),
             feed=self._platform.operators,
             consumer=OperatorItems(
                 configuration=self.configuration,
@@ -206,7 +216,7 @@
                 rollouts=self.rollouts,
             ),
             health=self.health,
-            wait_s=CONFIGURATION_WAIT_S,
+            wait_s=CONFIGURATION_POLL_S,
             clock=self._clock,
             rng=self._rng,
         )
@@ -220,7 +230,7 @@
             rng=self._rng,
         )
 
-    def _share(
+    def _build_sharing(
         self, table: str, shared_time: SharedTime, *, passes_rows: bool = False
     ) -> TableSharing:
         return TableSharing(
@@ -249,17 +259,19 @@
         self.roster.on_forgotten.append(self.limits.forget)
         self.endpoint_reader = FeedReader(
             name='endpoints',
-            sharing=self._share('endpoints', shared_time, passes_rows=True),
+            sharing=self._build_sharing(
+                'endpoints', shared_time, passes_rows=True
+            ),
             feed=self._platform.endpoints,
             consumer=self.roster,
             health=self.health,
             wait_s=min(
-                ENDPOINTS_WAIT_S, ENDPOINTS_WAIT_SHARE * self.settings.drain_s
+                ENDPOINTS_POLL_S, ENDPOINTS_POLL_SHARE * self.settings.drain_s
             ),
             clock=self._clock,
             rng=self._rng,
         )
-        self.peers.handle(TableNews, self._take_table_news)
+        self.peers.handle(TableNews, self._receive_table_news)
         self.evacuation = Evacuation(
             moves=self._platform.moves,
             stream_moves=StreamMoves(
@@ -284,9 +296,9 @@
             rng=self._rng,
         )
         self.roster.on_forgotten.append(self.chooser.parts.forget)
-        self.roster.on_restarted.append(self._forget_before_restart)
+        self.roster.on_restarted.append(self._forget_previous_process)
 
-    def _build_counts(self, shared_time: SharedTime) -> None:
+    def _build_usage(self, shared_time: SharedTime) -> None:
         self.caps = UsageCaps(
             states=self.states,
             rules=self.settings.caps,
@@ -357,8 +369,8 @@
             caps=self.caps,
             loans=self.cap_loans,
             limits=ConfirmationLimits(
-                keys_s=self.settings.revocation_s - KEY_SLACK_S,
-                absence_s=ABSENCE_S,
+                keys_s=self.settings.revocation_s - REVOCATION_SLACK_S,
+                absence_s=ABSENCE_MAX_AGE_S,
             ),
             clock=self._clock,
             rng=self._rng,
@@ -434,7 +446,7 @@
         return scaling
 
     def build_rollout_duty(self) -> RolloutDuty:
-        """Return the duty of bringing versions in."""
+        """Return the duty of carrying out roll-outs."""
         return RolloutDuty(
             rows=self.rollout_rows,
             rollouts=self.rollouts,
@@ -450,14 +462,14 @@
             metrics=self.metrics,
         )
 
-    async def _take_table_news(
+    async def _receive_table_news(
         self, sender: DaemonId, news: TableNews
     ) -> None:
         for reader in (self.configuration_reader, self.endpoint_reader):
             reader.receive_news(news)
 
-    def _forget_before_restart(self, old: EndpointRecord) -> None:
-        """Drop what an endpoint held and said, and connections to it."""
+    def _forget_previous_process(self, old: EndpointRecord) -> None:
+        """Drop cache index, limits and connections of a restarted endpoint."""
         self.limits.forget(old.id)
         self.chooser.parts.forget(old.id)
         self._platform.forget_connections(old.listed.address)
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/program.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/program.py
@@ -1,4 +1,7 @@
-"""Runs a daemon that passes requests on, as settings and signals ask."""
+"""Runs a gateway daemon from a settings file, and handles its signals.
+
+SIGTERM and SIGINT stop the daemon; SIGHUP reloads the settings.
+"""
 
 import importlib
 import signal
@@ -26,13 +29,13 @@
 
 log = get_log('program')
 
-LOOK_S = 1.0
-"""Time between two looks whether the settings file has changed: it may
-change without a signal."""
+SETTINGS_POLL_S = 1.0
+"""Interval of checks for a changed settings file, as it may change without a
+signal."""
 
 
 class Adapter(Protocol):
-    """What an adapter package offers."""
+    """Interface of an adapter package, which connects to one platform."""
 
     def open_platform(
         self,
@@ -41,11 +44,11 @@
         network: Network,
         clock: Callable[[], float],
     ) -> AbstractAsyncContextManager[GatewayPlatform]:
-        """Give the ports until the block ends."""
+        """Provide the platform's ports until the context exits."""
 
 
 def find_adapter(settings: GatewaySettings) -> Adapter:
-    """Return the adapter package that the settings name."""
+    """Import the adapter package that the settings name."""
     try:
         module = importlib.import_module(settings.adapter)
     except ImportError as error:
@@ -59,12 +62,12 @@
 
 
 def check(path: str) -> None:
-    """Raise `InvalidInput` for a settings file that is wrong."""
+    """Raise `InvalidInput` if a settings file is invalid."""
     find_adapter(read_gateway_settings(path))
 
 
 def serve(path: str, env: Environment, listening: SocketsByAddress) -> None:
-    """Run a daemon until it is asked to stop."""
+    """Run a daemon in a new event loop until a signal stops it."""
     configure_logs(env.stdout)
     anyio.run(
         run_gateway, path, listening, backend_options={'use_uvloop': True}
@@ -72,7 +75,7 @@
 
 
 async def run_gateway(path: str, listening: SocketsByAddress) -> None:
-    """Run a daemon with a settings file until it is asked to stop."""
+    """Run a daemon with a settings file until a signal stops it."""
     log.info('starting', settings=path, listening=len(listening))
     settings = read_gateway_settings(path)
     shared_time = SharedTime(clock=steady_time, wall_clock=time.time)
@@ -88,13 +91,13 @@
             network=network,
         )
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(_obey_signals, daemon, path)
-            tasks.start_soon(_follow_settings, daemon, path)
+            tasks.start_soon(_handle_signals, daemon, path)
+            tasks.start_soon(_watch_settings, daemon, path)
             await daemon.run()
             tasks.cancel_scope.cancel()
 
 
-async def _obey_signals(daemon: GatewayDaemon, path: str) -> None:
+async def _handle_signals(daemon: GatewayDaemon, path: str) -> None:
     with anyio.open_signal_receiver(
         signal.SIGTERM, signal.SIGINT, signal.SIGHUP
     ) as signals:
@@ -105,18 +108,18 @@
                 daemon.stop()
 
 
-async def _follow_settings(daemon: GatewayDaemon, path: str) -> None:
+async def _watch_settings(daemon: GatewayDaemon, path: str) -> None:
     file = anyio.Path(path)
-    seen = await file.read_text()
+    last_text = await file.read_text()
     while True:
-        await anyio.sleep(LOOK_S)
+        await anyio.sleep(SETTINGS_POLL_S)
         try:
             text = await file.read_text()
         except OSError as error:
             log.warning('settings_unreadable', path=path, problem=str(error))
             continue
-        if text != seen:
-            seen = text
+        if text != last_text:
+            last_text = text
             _reload(daemon, path)
 
 
@@ -124,6 +127,6 @@
     try:
         daemon.reload(read_gateway_settings(path))
     except (InvalidInput, OSError) as error:
-        # The last good settings stay: a daemon that serves must not end
-        # over a file that is half written.
+        # The last valid settings stay in force: a file that is half written
+        # must not end a running daemon.
         log.error('settings_unreadable', path=path, problem=str(error))
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/settings.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/settings.py
@@ -1,4 +1,7 @@
-"""Settings of a daemon that passes requests on, checked at the border."""
+"""Settings of a gateway daemon, read from a YAML file and validated.
+
+The `*Model` classes describe the file; the code uses `GatewaySettings`.
+"""
 
 import pathlib
 from dataclasses import dataclass
@@ -16,92 +19,108 @@
 from mimosamux_daemon.gateway.rollouts import RolloutLimits
 
 ADDRESS = r'^[^\s:]+:\d{1,5}$'
-MAYBE_ADDRESS = r'^([^\s:]+:\d{1,5})?$'
+OPTIONAL_ADDRESS = r'^([^\s:]+:\d{1,5})?$'
 
 
 class _Model(
     msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True
 ):
-    """A section of the file."""
+    """Base of the sections of the file; unknown fields are errors."""
 
 
 Address = Annotated[str, msgspec.Meta(pattern=ADDRESS)]
-MaybeAddress = Annotated[str, msgspec.Meta(pattern=MAYBE_ADDRESS)]
+OptionalAddress = Annotated[str, msgspec.Meta(pattern=OPTIONAL_ADDRESS)]
 Positive = Annotated[float, msgspec.Meta(gt=0)]
-NotNegative = Annotated[float, msgspec.Meta(ge=0)]
+NonNegative = Annotated[float, msgspec.Meta(ge=0)]
 
 
 class ListenModel(_Model, frozen=True, kw_only=True):
-    """Addresses to listen on; they are also those that others use."""
+    """Addresses to listen on, at which others also reach the daemon."""
 
     entry: Address
+    """Requests of clients."""
     peers: Address
+    """Messages of other daemons; also the id of this daemon among them."""
     discovery: Address
+    """Queries for the addresses of daemons."""
     readiness: Address
-    metrics: MaybeAddress = ''
+    """Readiness probes."""
+    metrics: OptionalAddress = ''
+    """Metrics and operator requests; empty: not served."""
 
 
 class PlatformModel(_Model, frozen=True, kw_only=True):
-    """Where the platform's services are."""
+    """Addresses and properties of the platform's services."""
 
     store: Address
-    cloud: MaybeAddress = ''
-    """Empty: there is nothing to report or to order."""
+    cloud: OptionalAddress = ''
+    """Service for usage reports and endpoint orders; empty: there is none."""
     checks_fencing: bool = False
+    """Whether the platform rejects calls with an outdated fencing number."""
 
 
 class BoundsModel(_Model, frozen=True, kw_only=True):
-    """Times within which operators rely on something, in seconds."""
+    """Time limits on which operators rely, in seconds."""
 
     revocation_s: Positive
-    """A key that was taken away is out everywhere after this time."""
+    """Time after which no daemon accepts a revoked key."""
     drain_s: Positive
-    """An endpoint that is listed as leaving serves on for so long."""
+    """Time for which an endpoint serves after it was listed as leaving."""
     stop_grace_s: Positive
-    """The platform kills a process that was asked to stop after it."""
+    """Time after which the platform kills a process that it asked to stop."""
     lease_s: Positive
+    """Validity of the lease of the duties."""
     usage_window_s: Positive
+    """Length of a window of usage reports."""
     usage_lateness_s: Positive
+    """Time after the end of a window by which its usage is reported."""
     address_ttl_s: Positive
-    """Longest time for which callers may keep an address answer."""
+    """Longest time for which clients may cache a discovery answer."""
 
 
 class RetriesModel(_Model, frozen=True, kw_only=True):
-    """Limits on sending requests to further endpoints."""
+    """Retry budget for sending requests to further endpoints."""
 
-    share: NotNegative
+    share: NonNegative
+    """Retries allowed for each request."""
     window_s: Positive
-    extra: NotNegative
+    extra: NonNegative
+    """Retries allowed in a window on top of the share."""
 
 
 class CapsModel(_Model, frozen=True, kw_only=True):
-    """How exactly the caps of client accounts are kept."""
+    """Accuracy with which the caps of client accounts are enforced."""
 
     window_s: Positive
-    overage: NotNegative = 0.0
-    tolerance: NotNegative = 0.0
+    """Time span over which usage counts."""
+    overage: NonNegative = 0.0
+    """Share of a cap that may be used on top of it."""
+    tolerance: NonNegative = 0.0
+    """Amount that may be used on top of that."""
 
 
 class RolloutsModel(_Model, frozen=True, kw_only=True):
-    """What a new version may get before it is found good."""
+    """Limits on the requests that an unproven version receives."""
 
     share: Annotated[float, msgspec.Meta(ge=0, le=1)] = 0.1
-    tolerance: NotNegative = 50.0
+    """Share of the requests to a service during the trial."""
+    tolerance: NonNegative = 50.0
+    """Number of requests allowed beyond the share."""
 
 
 class GatewaySettingsModel(_Model, frozen=True, kw_only=True):
     """The settings file."""
 
     adapter: Annotated[str, msgspec.Meta(pattern=r'^[a-z_][a-z0-9_.]*$')]
-    """Package that translates for the platform."""
+    """Name of the package that connects to the platform."""
     daemon: Annotated[str, msgspec.Meta(min_length=1, max_length=64)]
     data_centre: Annotated[str, msgspec.Meta(min_length=1)]
     region: str = ''
-    link_mbps: NotNegative = 0.0
-    """Bandwidth of the VM's link, 0: not known."""
+    link_mbps: NonNegative = 0.0
+    """Bandwidth of the VM's network link; 0: unknown."""
     listen: ListenModel
     seeds: tuple[str, ...] = ()
-    """Peer addresses of daemons that may be there already."""
+    """Peer addresses of daemons that may be running already."""
     first_start: bool = False
     """Whether the whole site starts for the first time."""
     platform: PlatformModel
@@ -113,7 +132,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class GatewaySettings:
-    """Settings of one daemon; times are seconds."""
+    """Validated settings of one daemon; times are in seconds."""
 
     adapter: str
     daemon: str
@@ -140,20 +159,20 @@
 
 
 def read_gateway_settings(path: str) -> GatewaySettings:
-    """Return the checked settings of a file."""
+    """Read and validate a settings file."""
     return parse_gateway_settings(pathlib.Path(path).read_text())
 
 
 def parse_gateway_settings(text: str) -> GatewaySettings:
-    """Return checked settings; `InvalidSettings` names a wrong field."""
+    """Validate settings; `InvalidSettings` names the invalid field."""
     try:
         fields = yaml.safe_load(text)
     except yaml.YAMLError as error:
         raise InvalidSettings(path='$', problem=str(error)) from error
-    return _as_settings(convert_settings(fields, GatewaySettingsModel))
+    return _build_settings(convert_settings(fields, GatewaySettingsModel))
 
 
-def _as_settings(model: GatewaySettingsModel) -> GatewaySettings:
+def _build_settings(model: GatewaySettingsModel) -> GatewaySettings:
     bounds = model.bounds
     return GatewaySettings(
         adapter=model.adapter,
