--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/relay.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/answer_relay.py
@@ -1,4 +1,8 @@
-"""Passes answers on: whole ones, and streams event by event."""
+"""Relays an endpoint's answer to the caller.
+
+Streams of events are relayed event by event. Other answers are buffered until
+they are complete, so that a broken one can be requested from another endpoint.
+"""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
@@ -18,19 +22,19 @@
 from mimosamux_daemon.ports.endpoint_calls import CallBroken, EndpointAnswer
 
 MAX_BUFFERED_BYTES = 1024 * 1024
-"""Answers up to this size are received whole before any of it is passed
-on, so that one that breaks off can still be had elsewhere."""
+"""Maximum size of a buffered answer. A longer one is relayed as it arrives,
+and cannot be requested elsewhere if it breaks off."""
 
 ResultT = TypeVar('ResultT')
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Silent:
-    """The endpoint has not begun to answer, and is left for another."""
+class NoAnswer:
+    """The endpoint did not answer in time; another one may be tried."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class WholeAnswer:
+class CompleteAnswer:
     """An answer that was received to its end."""
 
     answer: EndpointAnswer
@@ -38,54 +42,55 @@
 
 
 @dataclass(kw_only=True, slots=True)
-class Patience:
-    """Waits for an endpoint, until it is better left for another one."""
+class FailoverWait:
+    """Waits for an endpoint, until failing over to another is better."""
 
     attempt: Attempt
-    may_leave: Callable[[], bool]
-    """Whether the request may go elsewhere; spends a retry if so."""
+    may_fail_over: Callable[[], bool]
+    """Whether the request may go elsewhere; takes a retry from the budget
+    if so."""
     clock: Callable[[], float]
-    is_over: bool = False
+    waits_without_timeout: bool = False
 
     async def wait(
         self, receive: Callable[[], Awaitable[ResultT]]
-    ) -> ResultT | Silent:
-        """Return what comes; once it may not be left, wait for good."""
-        while not self.is_over:
+    ) -> ResultT | NoAnswer:
+        """Return what arrives; wait without time-out if failover is barred."""
+        while not self.waits_without_timeout:
             if self.attempt.has_first_event:
-                # Nothing leaves an endpoint whose answer has begun, and a
-                # timer for each event costs as much as passing it on.
+                # A request does not fail over once its answer has begun, and
+                # a timer for each event costs as much as relaying it.
                 break
-            left_s = self.attempt.silence_deadline - self.clock()
-            with anyio.move_on_after(max(left_s, 0.0)):
+            timeout_s = self.attempt.silence_deadline - self.clock()
+            with anyio.move_on_after(max(timeout_s, 0.0)):
                 return await receive()
-            if self.may_leave():
+            if self.may_fail_over():
                 self.attempt.note_silent()
-                return Silent()
-            self.is_over = True
+                return NoAnswer()
+            self.waits_without_timeout = True
         return await receive()
 
 
-async def receive_whole(
-    answer: EndpointAnswer, patience: Patience, job: Job
-) -> WholeAnswer | GatewayOutcome | CallBroken | Silent:
-    """Return a whole answer; one that is too long is passed on at once."""
+async def receive_complete(
+    answer: EndpointAnswer, failover_wait: FailoverWait, job: Job
+) -> CompleteAnswer | GatewayOutcome | CallBroken | NoAnswer:
+    """Buffer an answer to its end; relay one that is too long."""
     body = bytearray()
     while True:
-        part = await patience.wait(answer.receive)
-        if isinstance(part, CallBroken | Silent):
+        part = await failover_wait.wait(answer.receive)
+        if isinstance(part, CallBroken | NoAnswer):
             return part
         if part is None:
-            return WholeAnswer(answer=answer, body=bytes(body))
+            return CompleteAnswer(answer=answer, body=bytes(body))
         body += part
         if len(body) > MAX_BUFFERED_BYTES:
-            return await _pass_on_long(job, answer, bytes(body))
+            return await _relay_long(job, answer, bytes(body))
 
 
-async def _pass_on_long(
-    job: Job, answer: EndpointAnswer, first: bytes
+async def _relay_long(
+    job: Job, answer: EndpointAnswer, buffered: bytes
 ) -> GatewayOutcome:
-    is_sent = await job.sink.start(answer.status, answer.headers, first)
+    is_sent = await job.sink.start(answer.status, answer.headers, buffered)
     while is_sent:
         part = await answer.receive()
         if isinstance(part, CallBroken):
@@ -97,22 +102,27 @@
     return CallerGone()
 
 
-async def pass_on_whole(job: Job, whole: WholeAnswer) -> GatewayOutcome:
-    """Give a whole answer to the caller."""
-    answer = whole.answer
-    is_sent = await job.sink.answer(answer.status, answer.headers, whole.body)
+async def send_complete(job: Job, complete: CompleteAnswer) -> GatewayOutcome:
+    """Send a complete answer to the caller."""
+    answer = complete.answer
+    is_sent = await job.sink.answer(
+        answer.status, answer.headers, complete.body
+    )
     return Delivered(status=answer.status) if is_sent else CallerGone()
 
 
 async def relay_events(
-    job: Job, answer: EndpointAnswer, attempt: Attempt, patience: Patience
-) -> GatewayOutcome | CallBroken | Silent:
-    """Pass events on as they arrive, whole ones only."""
+    job: Job,
+    answer: EndpointAnswer,
+    attempt: Attempt,
+    failover_wait: FailoverWait,
+) -> GatewayOutcome | CallBroken | NoAnswer:
+    """Relay complete events as they arrive."""
     splitter = EventSplitter()
     job.weights_version = answer.weights_version
     while True:
-        part = await patience.wait(answer.receive)
-        if isinstance(part, CallBroken | Silent):
+        part = await failover_wait.wait(answer.receive)
+        if isinstance(part, CallBroken | NoAnswer):
             return part
         if part is None:
             break
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/choice.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/choice.py
@@ -21,7 +21,7 @@
 from mimosamux_daemon.domain.routes import Route, ServiceEntry
 from mimosamux_daemon.gateway.endpoint_record import EndpointRecord
 from mimosamux_daemon.gateway.engine_speed import EngineSpeed
-from mimosamux_daemon.gateway.health import EXCESS
+from mimosamux_daemon.gateway.health import MAX_EXCESS_FAILURE_RATE
 from mimosamux_daemon.gateway.prompt_parts import PromptParts
 from mimosamux_daemon.gateway.rollouts import Rollouts
 from mimosamux_daemon.gateway.roster import Roster
@@ -271,12 +271,12 @@
     available = [each for each in records if not each.is_deprioritised(now)]
     available = available or records
     share_by_id = {
-        record.id: record.health.failed_share(now) for record in available
+        record.id: record.health.failure_rate(now) for record in available
     }
     known = [share for share in share_by_id.values() if share is not None]
     if not known:
         return available
-    limit = min(known) + EXCESS
+    limit = min(known) + MAX_EXCESS_FAILURE_RATE
     healthy = [
         record
         for record in available
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/daemon_rows.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/daemon_rows.py
@@ -1,8 +1,8 @@
-"""Rows of the platform's table by which daemons find each other.
+"""Registers each daemon in a table of the platform, for peer discovery.
 
-Settings name a few daemons that may all be gone. The rows name every one
-that runs, so a daemon that starts finds the others as long as the table or
-one of its seeds can be reached.
+The seeds in the settings name a few daemons, which may all be gone. The table
+has a row for every running daemon, so a starting daemon finds the others if it
+reaches the table or one of its seeds.
 """
 
 import random
@@ -27,18 +27,18 @@
 log = get_log('daemon_rows')
 
 PREFIX = 'daemons/'
-CENTRE = 'data_centre'
-LINK = 'link_mbps'
-RETRY_S = 0.5
-CHECK_S = 5.0
-"""Time between two looks whether any peer is heard of."""
-WITHDRAW_S = 0.5
-LIMIT = 500
+DATA_CENTRE_FIELD = 'data_centre'
+LINK_FIELD = 'link_mbps'
+RETRY_DELAY_S = 0.5
+CHECK_INTERVAL_S = 5.0
+"""Interval between checks that at least one peer is fresh."""
+WITHDRAW_TIMEOUT_S = 0.5
+SCAN_LIMIT = 500
 
 
 @dataclass(kw_only=True, slots=True)
 class DaemonRows:
-    """Keeps this daemon's row, and reads those of the others."""
+    """Writes the row of this daemon, and reads the rows of the others."""
 
     table: Table
     states: PeerStates
@@ -49,34 +49,36 @@
         return PREFIX + self.states.place.id
 
     async def run(self) -> None:
-        """Write the row, read the others; again when nobody is heard."""
+        """Write the row and read the others, again if no peer is fresh."""
         while True:
-            await self._until_done(self._write)
-            await self._until_done(self._read)
-            await self._until_done(self._is_alone)
+            await self._retry_until_done(self._write_row)
+            await self._retry_until_done(self._read_rows)
+            await self._retry_until_done(self._is_alone)
 
     async def withdraw(self) -> None:
-        """Delete the row; a row that stays is harmless."""
-        with anyio.move_on_after(WITHDRAW_S):
+        """Try to delete the row; a row left behind is harmless."""
+        with anyio.move_on_after(WITHDRAW_TIMEOUT_S):
             await self.table.commit([], [Write(key=self._key, value=None)])
 
-    async def _until_done(self, work: Callable[[], Awaitable[bool]]) -> None:
+    async def _retry_until_done(
+        self, operation: Callable[[], Awaitable[bool]]
+    ) -> None:
         while True:
-            if await work():
+            if await operation():
                 return
-            await anyio.sleep(RETRY_S * self.rng.uniform(0.5, 1.5))
+            await anyio.sleep(RETRY_DELAY_S * self.rng.uniform(0.5, 1.5))
 
     async def _is_alone(self) -> bool:
-        await anyio.sleep(CHECK_S * self.rng.uniform(0.8, 1.2))
+        await anyio.sleep(CHECK_INTERVAL_S * self.rng.uniform(0.8, 1.2))
         return not self.states.fresh()
 
-    async def _write(self) -> bool:
+    async def _write_row(self) -> bool:
         place = self.states.place
         value = orjson.dumps(
             {
                 'entry': place.entry_address,
-                CENTRE: place.data_centre,
-                LINK: place.link_mbps,
+                DATA_CENTRE_FIELD: place.data_centre,
+                LINK_FIELD: place.link_mbps,
             }
         )
         outcome = await self.table.commit(
@@ -84,8 +86,8 @@
         )
         return isinstance(outcome, Committed)
 
-    async def _read(self) -> bool:
-        rows = await self.table.scan(PREFIX, limit=LIMIT)
+    async def _read_rows(self) -> bool:
+        rows = await self.table.scan(PREFIX, limit=SCAN_LIMIT)
         if isinstance(rows, Unavailable):
             return False
         found = {
@@ -102,18 +104,21 @@
 
 
 def _parse_centre(row: Row) -> DataCentreName:
-    """Return the data centre of a row's daemon; older rows do not tell."""
+    """Return the data centre in a row, an empty name if it has none.
+
+    Older software versions write rows without it.
+    """
     try:
-        return DataCentreName(str(orjson.loads(row.value)[CENTRE]))
+        return DataCentreName(str(orjson.loads(row.value)[DATA_CENTRE_FIELD]))
     except (ValueError, TypeError, KeyError):
-        log.info('centre_not_told', key=row.key)
+        log.info('data_centre_missing', key=row.key)
         return UNKNOWN_DATA_CENTRE
 
 
 def _parse_link(row: Row) -> float:
-    """Return the bandwidth that a row tells, 0 if it tells none."""
+    """Return the link bandwidth in a row in Mbit/s, 0 if it has none."""
     try:
-        return max(float(orjson.loads(row.value)[LINK]), 0.0)
+        return max(float(orjson.loads(row.value)[LINK_FIELD]), 0.0)
     except (ValueError, TypeError, KeyError):
-        log.info('link_not_told', key=row.key)
+        log.info('link_bandwidth_missing', key=row.key)
         return 0.0
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/discovery.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/discovery.py
@@ -1,4 +1,7 @@
-"""Which addresses callers are told to use."""
+"""Answers callers' discovery requests with the addresses of ready daemons.
+
+The addresses come from the digests that daemons exchange.
+"""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -6,33 +9,34 @@
 from mimosamux_daemon.control.members import MemberState
 from mimosamux_daemon.gateway.peer_states import DaemonPlace, PeerStates
 
-HEARD_S = 2.0
-"""Silence after which callers are no longer sent to a daemon."""
-FEWEST = 2
-"""Addresses below which those of other data centres are added: a caller
-whose only address fails has to wait for its answer to become old."""
-MOST = 64
+MAX_DIGEST_AGE_S = 2.0
+"""Age of a daemon's newest digest above which it is not offered."""
+MIN_ADDRESSES = 2
+"""With fewer addresses in the caller's data centre, those of other data
+centres are added: a caller whose only address fails must wait until its cached
+discovery answer expires."""
+MAX_ADDRESSES = 64
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Discovery:
-    """Answers callers from what the daemons tell each other."""
+    """Selects the addresses that a caller gets."""
 
     states: PeerStates
     clock: Callable[[], float]
 
     def addresses(self, region: str, data_centre: str) -> list[str]:
-        """Return the addresses for a caller in a place, near ones first."""
+        """Return the addresses for a caller, nearest first."""
         ready = self._ready()
         near = [each for each in ready if each.data_centre == data_centre]
-        if len(near) >= FEWEST:
+        if len(near) >= MIN_ADDRESSES:
             return _addresses_of(near)
-        rest = [each for each in ready if each not in near]
-        rest.sort(key=lambda each: each.region != region)
-        return _addresses_of([*near, *rest])
+        others = [each for each in ready if each not in near]
+        others.sort(key=lambda each: each.region != region)
+        return _addresses_of([*near, *others])
 
     def _ready(self) -> list[DaemonPlace]:
-        oldest = self.clock() - max(HEARD_S, self.states.fresh_s)
+        oldest = self.clock() - max(MAX_DIGEST_AGE_S, self.states.fresh_s)
         places = [
             peer.place
             for peer in self.states.by_id.values()
@@ -40,10 +44,10 @@
         ]
         if self.states.state is MemberState.READY:
             places.append(self.states.place)
-        # With nobody ready, one that is about to stop still serves, and no
-        # address at all would turn every caller away.
+        # If no daemon is ready, this one is offered although it may be about
+        # to stop: it still serves, and without an address no caller is served.
         return places or [self.states.place]
 
 
 def _addresses_of(places: list[DaemonPlace]) -> list[str]:
-    return [place.entry_address for place in places[:MOST]]
+    return [place.entry_address for place in places[:MAX_ADDRESSES]]
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/endpoint_reports.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/endpoint_reports.py
@@ -5,7 +5,7 @@
 from mimosamux_wire import EndpointUse, StateDigest
 
 from mimosamux_daemon.domain.names import DaemonId, EndpointId
-from mimosamux_daemon.gateway.health import Answers
+from mimosamux_daemon.gateway.health import AnswerCounts
 from mimosamux_daemon.gateway.peer_states import PeerState
 from mimosamux_daemon.gateway.roster import Roster
 
@@ -79,5 +79,5 @@
             unread_tokens=use.unread_tokens,
             now=now,
         )
-        answers = Answers(ended=use.ended, failed=use.failed)
+        answers = AnswerCounts(ended=use.ended, failed=use.failed)
         record.health.note_peer(peer.place.id, answers, now)
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/feed_reader.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/feed_reader.py
@@ -150,7 +150,7 @@
         if view is None or self._cursor is None:
             return
         if view.changed > self._cursor:
-            if not view.rows or view.behind > self._cursor:
+            if not view.rows or view.preceding_change > self._cursor:
                 self._read_now.set()
                 return
             self._apply_changes(view.rows, self._feed.parse(view.rows))
@@ -191,11 +191,11 @@
         changed = max((row.version for row in answer.rows), default=behind)
         self._apply_changes(answer.rows, answer.changes)
         self._note_progress(answer.cursor, changed, as_of)
-        self.sharing.tell(
+        self.sharing.send_update(
             TableView(
                 version=answer.cursor,
                 changed=self._last_change,
-                behind=behind,
+                preceding_change=behind,
                 as_of=as_of,
                 rows=answer.rows,
             )
@@ -261,7 +261,7 @@
             return
         self.is_connected = True
         if self._had_outage:
-            self._health.note_regained(self._name)
+            self._health.note_answered(self._name)
         log.info('feed_regained', feed=self._name, was_lost=self._had_outage)
 
     async def _back_off(self, problem: Unavailable) -> None:
@@ -269,7 +269,7 @@
         if self.is_connected:
             self.is_connected = False
             self._had_outage = True
-            self._health.note_lost(self._name)
+            self._health.note_unanswered(self._name)
             log.warning('feed_lost', feed=self._name, reason=problem.reason)
         await anyio.sleep(self._backoff_s * self._rng.uniform(0.5, 1.0))
         has_peer_news = self._clock() - self._confirmed_at < PEER_SILENCE_S
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/forwarding.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/forwarding.py
@@ -22,6 +22,14 @@
 from mimosamux_daemon.domain.outcomes import Reason, Refused
 from mimosamux_daemon.domain.routes import RouteKind
 from mimosamux_daemon.gateway.admission import Admission
+from mimosamux_daemon.gateway.answer_relay import (
+    CompleteAnswer,
+    FailoverWait,
+    NoAnswer,
+    receive_complete,
+    relay_events,
+    send_complete,
+)
 from mimosamux_daemon.gateway.attempts import Attempt, AttemptRecorder
 from mimosamux_daemon.gateway.choice import Choice, Chooser
 from mimosamux_daemon.gateway.crash_quarantine import CrashQuarantine
@@ -32,14 +40,6 @@
 from mimosamux_daemon.gateway.loop_lag import LoopLag
 from mimosamux_daemon.gateway.outcome_log import OutcomeLog
 from mimosamux_daemon.gateway.overload import Overload
-from mimosamux_daemon.gateway.relay import (
-    Patience,
-    Silent,
-    WholeAnswer,
-    pass_on_whole,
-    receive_whole,
-    relay_events,
-)
 from mimosamux_daemon.gateway.retry_budget import RetryBudget
 from mimosamux_daemon.gateway.roster import Roster
 from mimosamux_daemon.gateway.running_stream import RunningStream
@@ -96,7 +96,7 @@
         The time that the event loop lagged before it read the request counts
         against the request's deadline.
         """
-        lag_s = self.lag.waited_s()
+        lag_s = self.lag.estimated_wait_s()
         if lag_s:
             request = replace(request, received_at=request.received_at - lag_s)
         with anyio.CancelScope() as waiting:
@@ -246,13 +246,13 @@
         self, job: Job, attempt: Attempt, sent: SentRequest
     ) -> GatewayOutcome | ContinueElsewhere:
         """Wait for the head of the response, and handle the response."""
-        patience = Patience(
+        failover_wait = FailoverWait(
             attempt=attempt,
-            may_leave=lambda: self._take_retry(job),
+            may_fail_over=lambda: self._take_retry(job),
             clock=self.clock,
         )
-        answer = await patience.wait(sent.answer)
-        if isinstance(answer, Silent):
+        answer = await failover_wait.wait(sent.answer)
+        if isinstance(answer, NoAnswer):
             return ContinueElsewhere()
         if isinstance(answer, CallBroken):
             return self._handle_broken_call(job, attempt, answer)
@@ -260,37 +260,39 @@
         if isinstance(answer, TurnedDown):
             return self._handle_turned_down(job, attempt, answer)
         if job.is_stream and answer.status == HTTPStatus.OK:
-            return await self._forward_stream(job, answer, attempt, patience)
-        return await self._forward_whole(job, answer, attempt, patience)
+            return await self._forward_stream(
+                job, answer, attempt, failover_wait
+            )
+        return await self._forward_whole(job, answer, attempt, failover_wait)
 
     async def _forward_whole(
         self,
         job: Job,
         answer: EndpointAnswer,
         attempt: Attempt,
-        patience: Patience,
+        failover_wait: FailoverWait,
     ) -> GatewayOutcome | ContinueElsewhere:
         """Forward a whole response; retry a 5xx elsewhere if allowed."""
         attempt.note_begun()
-        whole = await receive_whole(answer, patience, job)
-        if isinstance(whole, Silent):
+        whole = await receive_complete(answer, failover_wait, job)
+        if isinstance(whole, NoAnswer):
             return ContinueElsewhere()
         if isinstance(whole, CallBroken):
             return self._handle_broken_call(job, attempt, whole)
-        if not isinstance(whole, WholeAnswer):
+        if not isinstance(whole, CompleteAnswer):
             return whole
         is_error = answer.status >= HTTPStatus.INTERNAL_SERVER_ERROR
         attempt.note_result(failed=is_error)
         if is_error and self._take_retry(job):
             return ContinueElsewhere()
-        return await pass_on_whole(job, whole)
+        return await send_complete(job, whole)
 
     async def _forward_stream(
         self,
         job: Job,
         answer: EndpointAnswer,
         attempt: Attempt,
-        patience: Patience,
+        failover_wait: FailoverWait,
     ) -> GatewayOutcome | ContinueElsewhere:
         """Forward events until the stream ends, or continues elsewhere.
 
@@ -305,8 +307,8 @@
             tokens=0 if prompt is None else prompt.tokens,
         )
         with self.evacuation.running(stream):
-            ended = await relay_events(job, answer, attempt, patience)
-        if isinstance(ended, Silent):
+            ended = await relay_events(job, answer, attempt, failover_wait)
+        if isinstance(ended, NoAnswer):
             return ContinueElsewhere()
         if not isinstance(ended, CallBroken):
             attempt.note_result(failed=False)
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/health.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/health.py
@@ -1,7 +1,7 @@
-"""How well an endpoint answers, from what requests saw there.
+"""Failure rate of an endpoint, from the outcomes of requests sent to it.
 
-An endpoint can say that it is well and fail part of its requests. One
-daemon sees few of them, so daemons tell each other what they saw.
+An endpoint can report that it is healthy and still fail some of its requests.
+A single daemon sees few of them, so daemons share their counts.
 """
 
 from collections import deque
@@ -10,19 +10,19 @@
 from mimosamux_daemon.domain.names import DaemonId
 
 WINDOW_S = 3.0
-"""Time over which answers are counted. An endpoint that gets no requests
-for its failures is tried again after it."""
-FEWEST = 4
-"""Answers below which nothing is concluded."""
-EXCESS = 0.25
-"""Share of failures above that of the best endpoint of the service from
-which an endpoint is doubted. Some requests fail wherever they go; those
-fail at the best one as well."""
+"""Sliding window in which answers are counted. An endpoint that gets no
+requests because of its failures is tried again after this time."""
+MIN_ANSWERS = 4
+"""Minimum number of answers for a failure rate."""
+MAX_EXCESS_FAILURE_RATE = 0.25
+"""An endpoint counts as unhealthy if its failure rate exceeds that of the
+service's best endpoint by more than this. Requests that fail everywhere fail
+at the best one as well."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Answers:
-    """Answers of an endpoint in the last window."""
+class AnswerCounts:
+    """Numbers of an endpoint's answers in the last window."""
 
     ended: int = 0
     failed: int = 0
@@ -30,40 +30,42 @@
 
 @dataclass(kw_only=True, slots=True)
 class EndpointHealth:
-    """Answers that this daemon and its peers saw."""
+    """Answers of one endpoint to this daemon and to its peers."""
 
     _own: deque[tuple[float, bool]] = field(default_factory=deque)
-    _by_peer: dict[DaemonId, tuple[float, Answers]] = field(
+    _by_peer: dict[DaemonId, tuple[float, AnswerCounts]] = field(
         default_factory=dict
     )
 
     def note(self, now: float, *, failed: bool) -> None:
-        """Count an answer, or what came in place of one."""
+        """Count an answer, or a failure to get one."""
         self._own.append((now, failed))
 
-    def note_peer(self, peer: DaemonId, answers: Answers, now: float) -> None:
-        """Take what a peer saw in its last window."""
+    def note_peer(
+        self, peer: DaemonId, answers: AnswerCounts, now: float
+    ) -> None:
+        """Store the counts of a peer's last window."""
         if answers.ended:
             self._by_peer[peer] = (now, answers)
         else:
             self._by_peer.pop(peer, None)
 
-    def own(self, now: float) -> Answers:
-        """Return what this daemon saw."""
+    def own(self, now: float) -> AnswerCounts:
+        """Return the counts of this daemon's own requests."""
         while self._own and self._own[0][0] < now - WINDOW_S:
             self._own.popleft()
         failed = sum(is_failed for _, is_failed in self._own)
-        return Answers(ended=len(self._own), failed=failed)
+        return AnswerCounts(ended=len(self._own), failed=failed)
 
-    def failed_share(self, now: float) -> float | None:
-        """Return the share of failures, None for too few answers."""
-        seen = [self.own(now)]
-        seen += [
+    def failure_rate(self, now: float) -> float | None:
+        """Return the failure rate, None for too few answers."""
+        counts = [self.own(now)]
+        counts += [
             answers
             for at, answers in self._by_peer.values()
             if at > now - WINDOW_S
         ]
-        ended = sum(answers.ended for answers in seen)
-        if ended < FEWEST:
+        ended = sum(answers.ended for answers in counts)
+        if ended < MIN_ANSWERS:
             return None
-        return sum(answers.failed for answers in seen) / ended
+        return sum(answers.failed for answers in counts) / ended
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/leaving_exchange.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/leaving_exchange.py
@@ -1,4 +1,4 @@
-"""What daemons tell each other of endpoints that leave."""
+"""Announces leaving endpoints to the other daemons."""
 
 from dataclasses import dataclass
 
@@ -11,12 +11,12 @@
 from mimosamux_daemon.ports import PeerLinks
 
 MS_PER_S = 1000
-NOT_KNOWN_MS = -1
+UNKNOWN_MS = -1
 
 
 @dataclass(kw_only=True, slots=True)
 class LeavingExchange:
-    """Tells peers who leaves, and takes what they tell."""
+    """Sends and receives announcements of leaving endpoints."""
 
     roster: Roster
     states: PeerStates
@@ -24,13 +24,13 @@
 
     def __post_init__(self) -> None:
         self.peers.handle(EndpointsLeave, self._take)
-        self.roster.on_learned.append(self._tell_learned)
-        self.roster.on_own_answer.append(self.tell)
+        self.roster.on_listed_leaving.append(self._announce_listed)
+        self.roster.on_answered_leaving.append(self.announce)
 
-    def tell(self, record: EndpointRecord) -> None:
-        """Tell of an endpoint that this daemon knows to leave."""
+    def announce(self, record: EndpointRecord) -> None:
+        """Announce a leaving endpoint to all daemons."""
         left_s = self.roster.left_s(record)
-        left_ms = NOT_KNOWN_MS if left_s is None else int(left_s * MS_PER_S)
+        left_ms = UNKNOWN_MS if left_s is None else int(left_s * MS_PER_S)
         self.states.queue(
             EndpointsLeave(
                 endpoints=[record.id],
@@ -39,29 +39,29 @@
             )
         )
 
-    def _tell_learned(self, record: EndpointRecord) -> None:
-        """Tell of an endpoint that the list shows as leaving.
+    def _announce_listed(self, record: EndpointRecord) -> None:
+        """Announce an endpoint that the list shows as leaving.
 
-        Where one daemon reads the list for the others, they have it from
-        there at the same time.
+        Only in a small site. In a larger one, one daemon reads the list for
+        all and forwards it, so the others learn of it at the same time.
         """
         if self.states.is_flat:
-            self.tell(record)
+            self.announce(record)
 
     async def _take(self, sender: DaemonId, message: EndpointsLeave) -> None:
         is_news = False
-        told = zip(message.endpoints, message.leave_in_ms, strict=False)
-        for place, (id_, left_ms) in enumerate(told):
+        announced = zip(message.endpoints, message.leave_in_ms, strict=False)
+        for index, (id_, left_ms) in enumerate(announced):
             is_news |= self.roster.note_leaving(
                 EndpointId(id_),
                 left_s=None if left_ms < 0 else left_ms / MS_PER_S,
                 source=sender,
-                incarnation=_number_at(message.incarnations, place),
+                incarnation=_number_at(message.incarnations, index),
             )
         if is_news and self.states.forwards_messages:
             self.states.queue(message)
 
 
-def _number_at(numbers: list[int], place: int) -> int:
-    """Return a number that an older peer does not tell as 0."""
-    return numbers[place] if place < len(numbers) else 0
+def _number_at(numbers: list[int], index: int) -> int:
+    """Return the number at an index, 0 if an older peer sent none."""
+    return numbers[index] if index < len(numbers) else 0
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/list_age.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/list_age.py
@@ -1,8 +1,8 @@
-"""Requests are sent by a list of endpoints that is new enough.
+"""Bounds the staleness of the endpoint list that requests are sent by.
 
-Who leaves is told, and looked for now and then. Each of that can come late:
-connections fall silent, a relay dies, a daemon gets no processor time. So the
-age of the list is what decides, at the moment of each send.
+Daemons announce leaving endpoints to each other, and poll the list. Both can
+be late: connections fall silent, a relay dies, a daemon gets no processor
+time. So the age of the list is checked each time a request is sent.
 """
 
 from dataclasses import dataclass
@@ -12,26 +12,28 @@
 from mimosamux_daemon.domain.gateway import ListedEndpoint
 from mimosamux_daemon.gateway.feed_reader import FeedReader
 
-OLD_SHARE = 0.8
-"""Part of the time that an endpoint serves on after it was listed as leaving.
-A list that is older is read anew before a request is sent by it."""
-HELD_S = 0.3
-"""Longest wait of a request for that. A table that does not answer by then
-is away, and endpoints are used as they were listed."""
+MAX_AGE_SHARE = 0.8
+"""Maximum age of the list, as a share of the drain time. An older list is
+read again before a request is sent by it."""
+READ_TIMEOUT_S = 0.3
+"""Time-out of that read. If the table does not answer in time, it counts as
+unavailable, and the last known list is used."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ListAge:
-    """Holds requests while the list is too old and can be read."""
+    """Holds requests while the endpoint list is stale and can be read."""
 
     reader: FeedReader[ListedEndpoint]
     drain_s: float
-    """Time that an endpoint serves on after it was listed as leaving."""
+    """Time that an endpoint keeps serving after it is listed as leaving."""
 
     async def wait_until_new(self) -> None:
-        """Return once the list is new enough, or cannot be read."""
-        reader, oldest_s = self.reader, OLD_SHARE * self.drain_s
-        if reader.age_s <= oldest_s or not reader.can_refresh:
+        """Wait until the list is fresh enough, or cannot be read."""
+        reader, max_age_s = self.reader, MAX_AGE_SHARE * self.drain_s
+        if reader.age_s <= max_age_s or not reader.can_refresh:
             return
-        with anyio.move_on_after(2 * HELD_S):
-            await reader.refresh(older_than_s=oldest_s, timeout_s=HELD_S)
+        with anyio.move_on_after(2 * READ_TIMEOUT_S):
+            await reader.refresh(
+                older_than_s=max_age_s, timeout_s=READ_TIMEOUT_S
+            )
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/loop_lag.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/loop_lag.py
@@ -1,8 +1,8 @@
-"""How long a daemon that is short of processor time leaves things waiting.
+"""Measures the event loop's lag, to estimate how long requests waited unread.
 
-A request lies in the socket until its daemon gets to it. On a small VM in a
-flood that was 1.5 s, more than some callers wait at all: their requests were
-sent on after they had left.
+A daemon short of processor time leaves requests in the socket buffer. On a
+small VM under overload they waited 1.5 s, longer than some callers' time-outs:
+such requests were forwarded after their callers had left.
 """
 
 from collections.abc import Callable
@@ -11,29 +11,29 @@
 import anyio
 
 PERIOD_S = 0.1
-LEAST_S = 0.2
-"""Lag below which nothing is taken off: timers are late by some ms in calm,
-and a request waits through a part of the lag only."""
+MIN_LAG_S = 0.2
+"""Lag that is ignored below this: timers are a few ms late on an idle machine,
+and a request waits for only a part of the lag."""
 
 
 @dataclass(kw_only=True, slots=True)
 class LoopLag:
-    """Measures by how much the daemon's own timer is late."""
+    """Measures how late a periodic timer of the event loop fires."""
 
     clock: Callable[[], float]
-    _due: float | None = None
-    _last_s: float = 0.0
+    _due_at: float | None = None
+    _last_lag_s: float = 0.0
 
     async def run(self) -> None:
         """Measure until cancelled."""
         while True:
-            self._due = self.clock() + PERIOD_S
+            self._due_at = self.clock() + PERIOD_S
             await anyio.sleep(PERIOD_S)
-            self._last_s = max(self.clock() - self._due, 0.0)
+            self._last_lag_s = max(self.clock() - self._due_at, 0.0)
 
-    def waited_s(self) -> float:
-        """Return how long what is read now has likely waited."""
-        if self._due is None:
+    def estimated_wait_s(self) -> float:
+        """Return the likely wait of a request that is read now."""
+        if self._due_at is None:
             return 0.0
-        lag_s = max(self.clock() - self._due, self._last_s)
-        return lag_s if lag_s >= LEAST_S else 0.0
+        lag_s = max(self.clock() - self._due_at, self._last_lag_s)
+        return lag_s if lag_s >= MIN_LAG_S else 0.0
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/monitor.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/monitor.py
@@ -191,7 +191,7 @@
 
     def _endpoint_row(self, record: EndpointRecord) -> dict[str, object]:
         now = self.clock()
-        failed = record.health.failed_share(now)
+        failed = record.health.failure_rate(now)
         share = record.share
         return {
             'endpoint': record.id,
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/parts.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/parts.py
@@ -225,17 +225,21 @@
             states=self.states,
             peers=self.peers,
             parse=self._platform.parse_configuration,
-            reads_platform=lambda: self.health.is_answering,
+            can_read_platform=lambda: self.health.is_answering,
             clock=self._clock,
             rng=self._rng,
         )
 
     def _build_sharing(
-        self, table: str, shared_time: SharedTime, *, passes_rows: bool = False
+        self,
+        table: str,
+        shared_time: SharedTime,
+        *,
+        includes_rows: bool = False,
     ) -> TableSharing:
         return TableSharing(
             table=table,
-            passes_rows=passes_rows,
+            includes_rows=includes_rows,
             states=self.states,
             shared_time=shared_time,
             health=self.health,
@@ -260,7 +264,7 @@
         self.endpoint_reader = FeedReader(
             name='endpoints',
             sharing=self._build_sharing(
-                'endpoints', shared_time, passes_rows=True
+                'endpoints', shared_time, includes_rows=True
             ),
             feed=self._platform.endpoints,
             consumer=self.roster,
@@ -284,7 +288,7 @@
             ),
             drain_s=self.settings.drain_s,
             clock=self._clock,
-            tell=leaving.tell,
+            tell=leaving.announce,
         )
         self.roster.on_leaving.append(self.evacuation.note_leaving)
         self.chooser = Chooser(
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/roster.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/roster.py
@@ -1,4 +1,8 @@
-"""The endpoints that the platform lists, and which of them take work."""
+"""Tracks the endpoints that the platform lists, and which take requests.
+
+The list, the answers of endpoints, and the announcements of peers change the
+records here. Connect failures and rejections add backoff per endpoint.
+"""
 
 import math
 from collections.abc import Callable, Iterable, Iterator, Mapping
@@ -20,30 +24,31 @@
 
 PLATFORM = 'platform'
 OWN_ANSWER = 'its answer'
-KEEP_GONE_S = 30.0
-"""Endpoints that are gone are remembered for so long: a peer whose view is
-older may still tell of them."""
-FIRST_PAUSE_S = 0.25
-LAST_PAUSE_S = 4.0
-"""An endpoint that cannot be connected to is left alone for the first of
-these; the pause doubles with each failed connect up to the last."""
-MOST_DOUBLINGS = 16
-LONGEST_PASSED_OVER_S = 8.0
-"""The same for one that turns requests down: each try costs a caller whose
-request may go to one endpoint only."""
-LONGEST_REST_S = 300.0
-"""Longest pause that an endpoint is given: a number that was spoiled on its
-way would take it out of use for good."""
-START_SLACK_S = 0.5
-"""Time before an endpoint's start, as it tells it, from which on a request
-may have reached the new process: its clock and ours differ by less."""
+GONE_RETENTION_S = 30.0
+"""Time for which a gone endpoint's record is kept: a peer with an older view
+may still send reports about it."""
+INITIAL_BACKOFF_S = 0.25
+MAX_CONNECT_BACKOFF_S = 4.0
+"""Exponential backoff after failed connects to an endpoint: initial and
+maximum pause."""
+MAX_DOUBLINGS = 16
+MAX_REJECTION_BACKOFF_S = 8.0
+"""Maximum backoff after rejected requests. It starts and doubles the same way.
+Each further try fails a caller whose request may go to one endpoint only."""
+MAX_REQUESTED_PAUSE_S = 300.0
+"""Maximum pause that an endpoint can request. Without it, a corrupted number
+would take the endpoint out of use for good."""
+CLOCK_TOLERANCE_S = 0.5
+"""Bound of the difference between an endpoint's clock and this one. A request
+sent up to this time before the reported start may have reached the new
+process."""
 
 
 Listener = Callable[[EndpointRecord], None]
 
 
 class Roster:
-    """Endpoints by id."""
+    """Records of the listed and recently listed endpoints, by id."""
 
     def __init__(
         self,
@@ -56,15 +61,15 @@
         self.changed = anyio.Event()
         """Set, and replaced by a new one, with each change of the list."""
         self.on_leaving: list[Listener] = []
-        """Told of each endpoint that leaves, whoever learned of it."""
-        self.on_learned: list[Listener] = []
-        """Told of those that the platform told this daemon of."""
-        self.on_own_answer: list[Listener] = []
-        """Told of those that said so in an answer to this daemon."""
+        """Called with each leaving endpoint, from whatever source."""
+        self.on_listed_leaving: list[Listener] = []
+        """Called with each endpoint that the list shows as leaving."""
+        self.on_answered_leaving: list[Listener] = []
+        """Called with each one that said so in an answer to this daemon."""
         self.on_restarted: list[Listener] = []
-        """Told of what was known of an endpoint that has started anew."""
+        """Called with the old record of each endpoint that restarted."""
         self.on_forgotten: list[Callable[[EndpointId], None]] = []
-        """Told of each endpoint that is remembered no longer."""
+        """Called with the id of each endpoint whose record is deleted."""
         self._clock = clock
         self._time_of_day = time_of_day
         self._health = health
@@ -72,30 +77,30 @@
     def replace(
         self, items: Mapping[str, ListedEndpoint | Unreadable]
     ) -> None:
-        """Take the whole list as it is now."""
+        """Apply a complete list of the current endpoints."""
         for id_, record in tuple(self.by_id.items()):
             if id_ not in items and record.gone_at is None:
-                self._note_missing(record)
+                self._handle_missing(record)
         self.apply(tuple(items.items()))
 
     def apply(
         self, changes: Iterable[tuple[str, ListedEndpoint | Unreadable | None]]
     ) -> None:
-        """Take changes of the list in their order."""
+        """Apply changes of the list in their order; None is a deletion."""
         for key, item in changes:
             record = self.by_id.get(EndpointId(key))
             if isinstance(item, Unreadable):
-                self._withhold(record, item)
+                self._mark_unreadable(record, item)
             elif item is not None:
-                self._take(item)
+                self._apply_entry(item)
             elif record is not None and record.gone_at is None:
-                self._note_missing(record)
-        self._forget_old()
+                self._handle_missing(record)
+        self._delete_old_records()
         self.changed.set()
         self.changed = anyio.Event()
 
     def confirm(self, at: float) -> None:
-        """Nothing to do: entries carry no time that has to be fresh."""
+        """Do nothing: entries hold no time that a confirmation renews."""
 
     def note_leaving(
         self,
@@ -105,11 +110,12 @@
         source: str,
         incarnation: int = 0,
     ) -> bool:
-        """Give an endpoint nothing new from now on; False if known before.
+        """Send an endpoint no new requests; return whether that is news.
 
-        `incarnation` tells which start of it is meant, 0: the known one.
-        An earlier one has left anyway, and says nothing of the known one;
-        a later one is kept in mind until the list tells of it.
+        `left_s` is the time until it is gone, None if unknown.
+        `incarnation` is the process that leaves, 0: the known one. An earlier
+        process than the known one is ignored. A later one is remembered
+        until the list shows it.
         """
         record = self.by_id.get(id_)
         if record is None or 0 < incarnation < record.incarnation:
@@ -134,16 +140,16 @@
         for listener in self.on_leaving:
             listener(record)
         if source == PLATFORM:
-            for listener in self.on_learned:
+            for listener in self.on_listed_leaving:
                 listener(record)
         elif source == OWN_ANSWER:
-            for listener in self.on_own_answer:
+            for listener in self.on_answered_leaving:
                 listener(record)
         return True
 
     def serving(self, service: ServiceName) -> list[EndpointRecord]:
-        """Return the endpoints of a service that take new requests."""
-        self._settle_lapsed()
+        """Return the endpoints of a service that may get new requests."""
+        self._remove_lapsed()
         return [
             record
             for record in self.by_id.values()
@@ -151,69 +157,69 @@
         ]
 
     def open_to(self, service: ServiceName) -> list[EndpointRecord]:
-        """Return those of them that want requests from this daemon now."""
+        """Return those that accept requests from this daemon now."""
         now = self._clock()
         return [
             record for record in self.serving(service) if record.is_open(now)
         ]
 
     def opens_in_s(self, service: ServiceName) -> float:
-        """Return when the first endpoint is open again, 0: some are."""
+        """Return the time until one accepts requests again, 0: one does."""
         now = self._clock()
         waits_s = [record.opens_in_s(now) for record in self.serving(service)]
         return min(waits_s, default=0.0)
 
     def of_service(self, service: ServiceName) -> Iterator[EndpointRecord]:
-        """Return every endpoint of a service that is listed."""
+        """Yield the listed endpoints of a service."""
         for record in self.by_id.values():
             if record.listed.service == service and record.gone_at is None:
                 yield record
 
     def note_connect(self, record: EndpointRecord, *, failed: bool) -> None:
-        """Note how a connect went; failures keep others from trying.
+        """Record the outcome of a connect; back off after a failure.
 
-        An endpoint that died stays listed for seconds. Each request sent
-        there meanwhile would lose the time of a connect that fails.
+        A dead endpoint stays listed for seconds, and each request sent to
+        it would lose the time of a failing connect.
         """
         if not failed:
             record.failed_connects = 0
             record.unreachable_until = -math.inf
             return
-        pause = _find_pause(record.failed_connects, LAST_PAUSE_S)
+        pause = _backoff_s(record.failed_connects, MAX_CONNECT_BACKOFF_S)
         record.failed_connects += 1
         record.unreachable_until = self._clock() + pause
 
     def note_refusal(self, record: EndpointRecord, sent_at: float) -> None:
-        """Pass over an endpoint for a while that turned a request down.
+        """Deprioritise an endpoint that rejected a request, with backoff.
 
-        It has nothing under way then, and would be taken for the best.
+        It has few requests in flight, so it would seem the least loaded.
         """
         if sent_at < record.rejected_at:
             return
         now = self._clock()
-        pause = _find_pause(record.rejections, LONGEST_PASSED_OVER_S)
+        pause = _backoff_s(record.rejections, MAX_REJECTION_BACKOFF_S)
         record.rejections += 1
         record.rejected_at = now
         record.deprioritised_until = now + pause
 
     def note_taken(self, record: EndpointRecord, sent_at: float) -> None:
-        """Note that an endpoint took a request that was sent at a time."""
+        """Reset the backoff if a request sent since was accepted."""
         if sent_at >= record.rejected_at:
             record.rejections = 0
             record.deprioritised_until = -math.inf
 
     def note_rest(self, record: EndpointRecord, pause_s: float) -> None:
-        """Send an endpoint nothing for as long as it asks."""
-        until = self._clock() + min(pause_s, LONGEST_REST_S)
+        """Send an endpoint no requests for the time that it asked for."""
+        until = self._clock() + min(pause_s, MAX_REQUESTED_PAUSE_S)
         if until > record.paused_until:
             record.paused_until = until
             log.info('endpoint_rests', endpoint=record.id, pause_s=pause_s)
 
     def note_replaced(self, record: EndpointRecord) -> None:
-        """Take an endpoint as gone whose address another one has.
+        """Mark an endpoint as gone because another one has its address.
 
-        Its entry is listed for some seconds more, and each request that is
-        sent to it meanwhile would be turned down.
+        Its entry stays listed for some seconds, and each request sent by it
+        would be rejected.
         """
         self.note_leaving(
             record.id,
@@ -223,10 +229,10 @@
         )
 
     def is_current(self, id_: EndpointId, incarnation: int) -> bool:
-        """Whether a start of an endpoint is the known one, 0: it is.
+        """Whether an incarnation of an endpoint is the known one, 0: it is.
 
-        What peers tell of an earlier one would count its load and its
-        failures for the new process, which has neither.
+        Reports of peers about an earlier process must not count: the new
+        process has neither its load nor its failures.
         """
         record = self.by_id.get(id_)
         if record is None or not incarnation:
@@ -234,22 +240,22 @@
         return record.incarnation in (0, incarnation)
 
     def left_s(self, record: EndpointRecord) -> float | None:
-        """Return the time until an endpoint is gone, None: not known."""
+        """Return the time until an endpoint is gone, None: unknown."""
         if record.leaves_at is None:
             return None
         return max(record.leaves_at - self._clock(), 0.0)
 
     def data_centres(self, service: ServiceName) -> set[DataCentreName]:
-        """Return where a service has endpoints listed."""
+        """Return the data centres of a service's listed endpoints."""
         return {
             record.listed.data_centre for record in self.of_service(service)
         }
 
-    def _take(self, item: ListedEndpoint) -> None:
+    def _apply_entry(self, item: ListedEndpoint) -> None:
         record = self.by_id.get(item.id)
         if record is not None and item.incarnation < record.incarnation:
-            # Written by an earlier process, or by another writer: it says
-            # nothing of the process that is known to run there.
+            # An earlier process or another writer wrote it, so it says nothing
+            # about the process that is known to run there.
             log.info(
                 'endpoint_entry_stale',
                 endpoint=item.id,
@@ -289,11 +295,16 @@
     def _restart(
         self, old: EndpointRecord, item: ListedEndpoint
     ) -> EndpointRecord:
-        """Begin anew with an endpoint that has lost all that it held."""
+        """Start a new record for an endpoint whose process restarted.
+
+        Requests in flight at the old process are lost and get cancelled.
+        """
         now = self._clock()
         old.gone_at = now
         age_s = self._time_of_day() - item.incarnation / 1000
-        lost = old.cancel_calls(before=now - max(age_s, 0.0) - START_SLACK_S)
+        lost = old.cancel_calls(
+            before=now - max(age_s, 0.0) - CLOCK_TOLERANCE_S
+        )
         log.info(
             'endpoint_restarted',
             endpoint=item.id,
@@ -308,10 +319,10 @@
             self.note_leaving(item.id, left_s=None, source='a peer')
         return record
 
-    def _withhold(
+    def _mark_unreadable(
         self, record: EndpointRecord | None, item: Unreadable
     ) -> None:
-        """Use an endpoint no longer until its entry can be read again."""
+        """Use an endpoint no further until its entry can be parsed again."""
         if record is None or record.is_unreadable:
             return
         record.is_unreadable = True
@@ -319,12 +330,12 @@
             'endpoint_withheld', endpoint=record.id, problem=item.problem
         )
 
-    def _note_missing(self, record: EndpointRecord) -> None:
-        """Take an endpoint that is no longer listed as gone.
+    def _handle_missing(self, record: EndpointRecord) -> None:
+        """Mark an endpoint that is missing from the list as gone.
 
-        While the platform's store was away, live endpoints could not
-        renew their entries. Taken as gone at once, all of a service could
-        vanish together, and every request would be refused.
+        Not so during or just after an outage of the platform's store, when
+        live endpoints cannot renew their entries: all endpoints of a service
+        could vanish at once, and every request would be refused.
         """
         if self._health.may_have_lapsed():
             if not record.is_lapsed:
@@ -337,26 +348,26 @@
         if not record.is_leaving:
             self.note_leaving(record.id, left_s=None, source=PLATFORM)
 
-    def _settle_lapsed(self) -> None:
-        """Take those as gone that did not come back in time."""
+    def _remove_lapsed(self) -> None:
+        """Mark endpoints as gone that stay missing after an outage."""
         if self._health.may_have_lapsed():
             return
         for record in self.by_id.values():
             if record.is_lapsed:
-                self._note_missing(record)
+                self._handle_missing(record)
 
-    def _forget_old(self) -> None:
+    def _delete_old_records(self) -> None:
         now = self._clock()
         for id_, record in tuple(self.by_id.items()):
             gone_at = record.gone_at
-            if gone_at is not None and now - gone_at > KEEP_GONE_S:
+            if gone_at is not None and now - gone_at > GONE_RETENTION_S:
                 del self.by_id[id_]
                 for listener in self.on_forgotten:
                     listener(id_)
 
 
-def _find_pause(failures: int, longest_s: float) -> float:
-    """Return the pause after so many failures before this one."""
-    # Bounded before the power is taken, which overflows in long outages.
-    doublings = min(failures, MOST_DOUBLINGS)
-    return min(FIRST_PAUSE_S * 2.0**doublings, longest_s)
+def _backoff_s(failures: int, limit_s: float) -> float:
+    """Return the backoff after this number of earlier failures."""
+    # Bounded first, since the power overflows in long outages.
+    doublings = min(failures, MAX_DOUBLINGS)
+    return min(INITIAL_BACKOFF_S * 2.0**doublings, limit_s)
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/store_health.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/store_health.py
@@ -1,55 +1,64 @@
-"""Whether the platform's store answers, as its readers find."""
+"""Tracks outages of the platform's store, as its readers observe them.
+
+Endpoints renew their entries in the store. During an outage, and shortly after
+it, an endpoint can be missing from the list although it is alive.
+"""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-LAPSE_S = 2.0
-"""Time after the store is back within which live endpoints that lapsed
-from its list meanwhile are listed again."""
-TOLD_S = 1.5
-"""Time for which the word of another daemon counts: a little more than what
-passes until it tells again. Daemons tell only what they see themselves; were
-the word passed on as their own, an outage would never end."""
+RENEWAL_S = 2.0
+"""Time after an outage within which live endpoints renew the entries that
+expired during it."""
+PEER_REPORT_TTL_S = 1.5
+"""Time for which the outage report of another daemon counts, a little more
+than the interval between its reports. Daemons report only outages that they
+observe themselves: if they repeated the reports of others, an outage would
+never end."""
 
 
 @dataclass(kw_only=True, slots=True)
 class StoreHealth:
-    """Readers that are without an answer, and when the store was back."""
+    """Readers without an answer, and the times of the last outages."""
 
     clock: Callable[[], float]
-    _lost: set[str] = field(default_factory=set)
+    _unanswered_readers: set[str] = field(default_factory=set)
     _regained_at: float | None = None
-    _told_at: float | None = None
-    """When another daemon told last that it sees an outage."""
+    _peer_outage_at: float | None = None
+    """When another daemon last reported an outage."""
 
-    def note_lost(self, reader: str) -> None:
-        """Note that a reader gets no answer any more."""
-        self._lost.add(reader)
+    def note_unanswered(self, reader: str) -> None:
+        """Record that a reader gets no answers."""
+        self._unanswered_readers.add(reader)
 
-    def note_regained(self, reader: str) -> None:
-        """Note that a reader gets answers again, after a time without."""
-        self._lost.discard(reader)
+    def note_answered(self, reader: str) -> None:
+        """Record that a reader gets answers again."""
+        self._unanswered_readers.discard(reader)
         self._regained_at = self.clock()
 
-    def note_told_of_outage(self) -> None:
-        """Note that the store is, or just was, away from another daemon."""
-        self._told_at = self.clock()
+    def note_peer_outage(self) -> None:
+        """Record that another daemon reported a current or recent outage."""
+        self._peer_outage_at = self.clock()
 
     @property
     def is_answering(self) -> bool:
-        """Whether all readers here are answered."""
-        return not self._lost
+        """Whether all readers of this daemon get answers."""
+        return not self._unanswered_readers
 
-    def has_seen_outage(self) -> bool:
-        """Whether the store is, or just was, away from this daemon."""
-        return bool(self._lost) or self._is_within(self._regained_at, LAPSE_S)
+    def has_local_outage(self) -> bool:
+        """Whether this daemon observes an outage or observed a recent one."""
+        return bool(self._unanswered_readers) or self._is_within(
+            self._regained_at, RENEWAL_S
+        )
 
     def may_have_lapsed(self) -> bool:
-        """Whether an endpoint that is missing may live all the same.
+        """Whether an endpoint missing from the list may still be alive.
 
-        While the store is away, live endpoints cannot renew their entries.
+        During an outage, live endpoints cannot renew their entries.
         """
-        return self.has_seen_outage() or self._is_within(self._told_at, TOLD_S)
+        return self.has_local_outage() or self._is_within(
+            self._peer_outage_at, PEER_REPORT_TTL_S
+        )
 
     def _is_within(self, at: float | None, duration_s: float) -> bool:
         return at is not None and self.clock() - at < duration_s
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/table_sharing.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/table_sharing.py
@@ -1,8 +1,8 @@
-"""Which daemon reads a table of the platform for the others.
+"""Chooses one daemon that reads a table of the platform for all others.
 
-If every daemon follows a table itself, each change of a row is read by all of
-them, and each asks once a second whether there is none. With 24 daemons the
-calls to the platform in 68 s went from 2,263 to 671 (one quiet day each).
+If every daemon follows a table itself, all of them read each changed row and
+poll for changes once a second. Sharing the reads of 24 daemons cut the calls
+to the platform in 68 s from 2,263 to 671 (measured on one quiet day each).
 """
 
 from collections.abc import Callable
@@ -18,45 +18,47 @@
 from mimosamux_daemon.gateway.store_health import StoreHealth
 from mimosamux_daemon.ports.feeds import FeedRow
 
-NEWER_MS = 300
-"""News of a table are passed on if they are so much newer than the last, or
-hold a change: two daemons that read at once are heard of once."""
+FORWARD_INTERVAL_MS = 300
+"""An update of a table is forwarded if it is newer than the last one by this
+time, or holds a change. So the updates of two daemons that read at the same
+time are forwarded once."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class TableView:
-    """How far a daemon knows a table."""
+    """State of a table as a daemon has read it, with the changed rows."""
 
     version: int
-    """Version of the store up to which it was read."""
+    """Version of the store up to which the table was read."""
     changed: int
     """Version of the table's newest change."""
-    behind: int
-    """Version of the change before those that come with this view."""
+    preceding_change: int
+    """Version of the change that precedes the rows of this view."""
     as_of: float
-    """Up to when that is all, on the steady clock of this machine."""
+    """When the view was current, on this machine's monotonic clock."""
     rows: tuple[FeedRow, ...] = ()
 
 
 @dataclass(kw_only=True, slots=True)
 class TableSharing:
-    """Chooses the reader of one table, and passes on what is read."""
+    """Chooses the reader of one table, and distributes what it reads."""
 
     table: str
-    passes_rows: bool
-    """Whether rows are passed on; large ones are read by each daemon."""
+    includes_rows: bool
+    """Whether updates hold the rows; each daemon reads large ones itself."""
     states: PeerStates
     shared_time: SharedTime
     health: StoreHealth
     clock: Callable[[], float]
-    _passed_ms: int = 0
-    _passed_change: int = 0
+    _forwarded_ms: int = 0
+    _forwarded_change: int = 0
 
     def is_reader(self) -> bool:
         """Whether this daemon follows the table itself.
 
-        In a small site all do: a change then depends on no other daemon,
-        and the calls cost a hundredth of what callers' answers are worth.
+        In a small site every daemon does. It then depends on no other daemon
+        for changes, and the calls cost a hundredth of the value of the
+        answers to callers.
         """
         if self.states.is_flat or self.states.state is not MemberState.READY:
             return True
@@ -67,17 +69,17 @@
             if peer.reads_tables
         )
 
-    def tell(self, view: TableView) -> None:
-        """Tell the others what was read here."""
+    def send_update(self, view: TableView) -> None:
+        """Send a view that this daemon has read to the others."""
         as_of_ms = self.shared_time.to_store_ms(view.as_of)
         if self.states.is_flat or as_of_ms is None:
             return
-        rows = view.rows if self.passes_rows else ()
+        rows = view.rows if self.includes_rows else ()
         news = TableNews(
             table=self.table,
             version=view.version,
             changed=view.changed,
-            behind=view.behind,
+            behind=view.preceding_change,
             rows=[
                 TableRow(
                     key=row.key,
@@ -88,24 +90,27 @@
                 for row in rows
             ],
             as_of_ms=as_of_ms,
-            may_have_lapsed=self.health.has_seen_outage(),
+            may_have_lapsed=self.health.has_local_outage(),
         )
-        if self._is_newer(news):
+        if self._check_newer(news):
             self.states.queue(news)
 
     def receive(self, news: TableNews) -> TableView | None:
-        """Return what another daemon has read, None if its age is unknown."""
+        """Return the view in an update, and forward it if it is new.
+
+        Return None if its age is unknown or it is about another table.
+        """
         as_of = self.shared_time.from_store_ms(news.as_of_ms)
         if as_of is None or news.table != self.table:
             return None
-        if self._is_newer(news) and self.states.acts_as_relay:
+        if self._check_newer(news) and self.states.acts_as_relay:
             self.states.queue(news)
         if news.may_have_lapsed:
-            self.health.note_told_of_outage()
+            self.health.note_peer_outage()
         return TableView(
             version=news.version,
             changed=news.changed,
-            behind=news.behind,
+            preceding_change=news.behind,
             as_of=min(as_of, self.clock()),
             rows=tuple(
                 FeedRow(
@@ -119,20 +124,20 @@
         )
 
     def write(self, digest: StateDigest) -> None:
-        """Tell whether the platform answers here."""
+        """Set in a digest whether the platform answers this daemon."""
         digest.reads_tables = self.health.is_answering
 
     def take(self, peer: PeerState, digest: StateDigest) -> None:
-        """Nothing to do: it is part of the peer's state."""
+        """Do nothing: `PeerStates` stores the flag in the peer's state."""
 
-    def _is_newer(self, news: TableNews) -> bool:
+    def _check_newer(self, news: TableNews) -> bool:
         is_newer = (
-            news.as_of_ms >= self._passed_ms + NEWER_MS
-            or news.changed > self._passed_change
+            news.as_of_ms >= self._forwarded_ms + FORWARD_INTERVAL_MS
+            or news.changed > self._forwarded_change
         )
         if is_newer:
-            self._passed_ms = max(self._passed_ms, news.as_of_ms)
-            self._passed_change = max(self._passed_change, news.changed)
+            self._forwarded_ms = max(self._forwarded_ms, news.as_of_ms)
+            self._forwarded_change = max(self._forwarded_change, news.changed)
         return is_newer
 
     def _rank(self, id_: DaemonId) -> int:
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/vouching.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/vouching.py
@@ -1,8 +1,9 @@
-"""Daemons vouch for the configuration of one that is cut off.
+"""Confirms the configuration through peers when the platform is unreachable.
 
 A daemon that cannot reach the platform does not know whether the keys in
-force are still valid. A peer that can reach it knows, and tells the age of
-its own knowledge; the time of the question bounds how old the answer is.
+force are still valid. A peer that can reach it vouches for its configuration
+version and states the age of its own confirmation. That age counts back from
+the time of the request, which bounds the age of the answer.
 """
 
 import random
@@ -23,58 +24,59 @@
 log = get_log('vouching')
 
 ASK_AFTER_S = 2.0
-"""Age of the own confirmation from which peers are asked. While the
-platform answers, the age stays below twice the wait of its feed."""
-POLL_S = 0.1
-ASK_EVERY_S = 0.5
-ASKED_AT_ONCE = 2
-READ_FIRST_S = 1.0
-"""Time for which a daemon that reads the platform leaves a newer document to
-its own reading, in a site with relays. Whoever reads for the others has it
-first: asked by twenty of them for 0.5 MB at once, its link of 5 Mbit/s was
-full for seconds, and it reached neither platform nor endpoints."""
-ANSWER_S = 0.4
-"""Longest wait for an answer; an older one would hardly help."""
+"""Age of this daemon's confirmation from which it asks peers. While the
+platform answers, the age stays below twice the feed's polling time-out."""
+CHECK_INTERVAL_S = 0.1
+ASK_INTERVAL_S = 0.5
+MAX_ASKED_PEERS = 2
+OWN_READ_S = 1.0
+"""Time for which a daemon that can read the platform waits to read a newer
+document there before it asks peers, in a site with relays. The daemon that
+reads for the others has the document first: when twenty of them requested its
+0.5 MB at once, its link of 5 Mbit/s was saturated for seconds, and it reached
+neither the platform nor the endpoints."""
+ANSWER_TIMEOUT_S = 0.4
+"""Time-out of a request to a peer; a later answer is of little use."""
 
 
 @dataclass(kw_only=True, slots=True)
 class Vouching:
-    """Answers for the configuration, and asks peers about it."""
+    """Vouches for the configuration, and asks peers to vouch for it."""
 
     configuration: ConfirmedConfiguration
     states: PeerStates
     peers: Peers
     parse: Callable[[bytes], ConfigurationDocument]
-    reads_platform: Callable[[], bool]
-    """Whether the platform's tables answer this daemon."""
+    can_read_platform: Callable[[], bool]
+    """Whether this daemon can read the platform's tables."""
     clock: Callable[[], float]
     rng: random.Random
-    _behind_since: float | None = None
+    _outdated_since: float | None = None
 
     def __post_init__(self) -> None:
         self.peers.handle(Vouch, self._answer)
 
     def write(self, digest: StateDigest) -> None:
-        """Tell which version is in force here."""
+        """Set the configuration version in force in a digest."""
         digest.configuration_version = self.configuration.current.version
 
     def take(self, peer: PeerState, digest: StateDigest) -> None:
-        """Nothing to do: the version is part of the peer's state."""
+        """Do nothing: `PeerStates` stores the version in the peer's state."""
 
     async def run(self) -> None:
-        """Ask while it is needed, until cancelled."""
+        """Ask peers whenever needed, until cancelled."""
         while True:
-            await anyio.sleep(POLL_S)
-            asked = self._pick()
-            if not asked:
+            await anyio.sleep(CHECK_INTERVAL_S)
+            peers = self._choose_peers()
+            if not peers:
                 continue
             async with anyio.create_task_group() as tasks:
-                for peer in asked:
+                for peer in peers:
                     tasks.start_soon(self._ask, peer)
-            await anyio.sleep(ASK_EVERY_S - POLL_S)
+            await anyio.sleep(ASK_INTERVAL_S - CHECK_INTERVAL_S)
 
-    def _pick(self) -> list[DaemonId]:
-        """Return the peers to ask now."""
+    def _choose_peers(self) -> list[DaemonId]:
+        """Return the peers to ask now, none if none is needed."""
         fresh = self.states.fresh()
         version = self.configuration.current.version
         newer = [
@@ -82,31 +84,31 @@
             for peer in fresh
             if peer.configuration_version > version
         ]
-        if self._leaves_it_to_reading(bool(newer)):
+        if self._awaits_own_read(bool(newer)):
             newer = []
         if not newer and self.configuration.age_s < ASK_AFTER_S:
             return []
         candidates = newer or [peer.place.id for peer in fresh]
-        count = min(len(candidates), ASKED_AT_ONCE)
+        count = min(len(candidates), MAX_ASKED_PEERS)
         return self.rng.sample(candidates, count)
 
-    def _leaves_it_to_reading(self, is_behind: bool) -> bool:
-        """Whether a newer document will likely come from the platform."""
-        if not is_behind:
-            self._behind_since = None
+    def _awaits_own_read(self, is_outdated: bool) -> bool:
+        """Whether to wait for this daemon's own read of the platform."""
+        if not is_outdated:
+            self._outdated_since = None
             return True
-        if self._behind_since is None:
-            self._behind_since = self.clock()
-        if self.states.is_flat or not self.reads_platform():
+        if self._outdated_since is None:
+            self._outdated_since = self.clock()
+        if self.states.is_flat or not self.can_read_platform():
             return False
-        return self.clock() - self._behind_since < READ_FIRST_S
+        return self.clock() - self._outdated_since < OWN_READ_S
 
     async def _ask(self, peer: DaemonId) -> None:
         asked_at = self.clock()
         answer = await self.peers.call(
             peer,
             Vouch(version=self.configuration.current.version),
-            timeout_s=ANSWER_S,
+            timeout_s=ANSWER_TIMEOUT_S,
         )
         if isinstance(answer, PeerUnavailable):
             return
@@ -130,10 +132,10 @@
     async def _answer(self, sender: DaemonId, message: Vouch) -> Message:
         configuration = self.configuration
         version = configuration.current.version
-        is_behind = message.version < version
+        is_outdated = message.version < version
         return Vouched(
             version=version,
-            # Rounded up: an age that is too high does no harm.
+            # Rounded up: too high an age is safe, too low a one is not.
             age_ms=int(min(configuration.age_s, 1e6) * 1000) + 1,
-            document=configuration.data if is_behind else b'',
+            document=configuration.data if is_outdated else b'',
         )
--- a/tests/test_gateway_endpoints.py
+++ b/tests/test_gateway_endpoints.py
@@ -5,7 +5,7 @@
 import anyio
 from mimosamux_daemon.domain.gateway import PromptPart, PromptUse
 from mimosamux_daemon.domain.names import EndpointId
-from mimosamux_daemon.gateway.roster import KEEP_GONE_S
+from mimosamux_daemon.gateway.roster import GONE_RETENTION_S
 from mimosamux_standins.site.store import StoreTrouble
 
 from tests.support.clock import run_paused
@@ -183,7 +183,7 @@
                     await anyio.sleep(1)
                     site.drain_replica(engine)
                     site.unlist_replica(engine)
-                    await anyio.sleep(KEEP_GONE_S + 1)
+                    await anyio.sleep(GONE_RETENTION_S + 1)
                 await site.add_replica('llm', 'north')
                 await anyio.sleep(1)
                 return len(daemon.parts.chooser.parts)
--- a/tests/test_gateway_loop_lag.py
+++ b/tests/test_gateway_loop_lag.py
@@ -21,14 +21,14 @@
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(lag.run)
                 await anyio.sleep(10 * PERIOD_S)
-                calm = lag.waited_s()
+                calm = lag.estimated_wait_s()
                 behind_s[0] = 1.5
-                at_once = lag.waited_s()
+                at_once = lag.estimated_wait_s()
                 await anyio.sleep(PERIOD_S)
-                soon = lag.waited_s()
+                soon = lag.estimated_wait_s()
                 await anyio.sleep(3 * PERIOD_S)
                 tasks.cancel_scope.cancel()
-                return calm, at_once, soon, lag.waited_s()
+                return calm, at_once, soon, lag.estimated_wait_s()
 
         calm, at_once, soon, later = run_paused(check)
         self.assertEqual((calm, later), (0.0, 0.0))
--- a/tests/test_gateway_restarts.py
+++ b/tests/test_gateway_restarts.py
@@ -136,7 +136,7 @@
         self.parts.note_read(ID, PROMPT_USE, BORN)
         self.list(entry(LATER))
         self.assertEqual(self.record.load.total(self.now).requests, 0)
-        self.assertIsNone(self.record.health.failed_share(self.now))
+        self.assertIsNone(self.record.health.failure_rate(self.now))
         self.assertFalse(self.record.is_unreachable(self.now))
         self.assertEqual(self.parts.cached_tokens(ID, PROMPT_USE), 0)
         self.assertEqual(len(self.roster.serving(APP)), 1)
@@ -171,7 +171,7 @@
         self.reports.take(peer_state(), use_digest(BORN, failed=8))
         self.parts.take(peer_state(), parts_digest(BORN))
         self.assertEqual(self.record.load.total(self.now).requests, 0)
-        self.assertIsNone(self.record.health.failed_share(self.now))
+        self.assertIsNone(self.record.health.failure_rate(self.now))
         self.assertEqual(self.parts.cached_tokens(ID, PROMPT_USE), 0)
 
     def test_what_peers_tell_of_the_new_process_counts(self):
@@ -179,7 +179,7 @@
         self.reports.take(peer_state(), use_digest(LATER, failed=8))
         self.parts.take(peer_state(), parts_digest(LATER))
         self.assertEqual(self.record.load.total(self.now).requests, 5)
-        self.assertEqual(self.record.health.failed_share(self.now), 1.0)
+        self.assertEqual(self.record.health.failure_rate(self.now), 1.0)
         self.assertEqual(self.parts.cached_tokens(ID, PROMPT_USE), 500)
 
     def test_load_that_a_peer_told_before_does_not_come_back(self):
--- a/tests/test_gateway_schedules.py
+++ b/tests/test_gateway_schedules.py
@@ -7,7 +7,7 @@
 
 from hypothesis import HealthCheck, Phase, given, settings
 from mimosamux_daemon.domain.outcomes import Refused
-from mimosamux_daemon.gateway import relay, roster
+from mimosamux_daemon.gateway import answer_relay, roster
 from mimosamux_daemon.gateway.caps import UsageCaps
 from mimosamux_daemon.gateway.configuration import ConfirmedConfiguration
 from mimosamux_daemon.gateway.events import CompleteEvents, EventSplitter
@@ -156,18 +156,18 @@
         )
 
     def test_answer_that_breaks_off_passed_on_as_whole(self):
-        async def receive_whole(answer, patience, job):
+        async def receive_complete(answer, patience, job):
             body = b''
             while isinstance(part := await answer.receive(), bytes):
                 body += part
-            return relay.WholeAnswer(answer=answer, body=body)
+            return answer_relay.CompleteAnswer(answer=answer, body=body)
 
         self.assert_seen(
             'no replica made',
             spoil(Fault.CUT),
             mock.patch(
-                'mimosamux_daemon.gateway.forwarding.receive_whole',
-                receive_whole,
+                'mimosamux_daemon.gateway.forwarding.receive_complete',
+                receive_complete,
             ),
         )
 
--- a/tests/test_gateway_table_sharing.py
+++ b/tests/test_gateway_table_sharing.py
@@ -4,7 +4,7 @@
 
 import anyio
 from mimosamux_daemon.gateway.feed_reader import PEER_SILENCE_S
-from mimosamux_daemon.gateway.store_health import LAPSE_S, StoreHealth
+from mimosamux_daemon.gateway.store_health import RENEWAL_S, StoreHealth
 from mimosamux_daemon.gateway.table_sharing import TableView
 from mimosamux_wire import Vouch
 
@@ -174,13 +174,13 @@
         now = [100.0]
         seeing = StoreHealth(clock=lambda: now[0])
         told = StoreHealth(clock=lambda: now[0])
-        seeing.note_lost('endpoints')
-        seeing.note_regained('endpoints')
-        told.note_told_of_outage()
+        seeing.note_unanswered('endpoints')
+        seeing.note_answered('endpoints')
+        told.note_peer_outage()
         self.assertTrue(told.may_have_lapsed())
-        self.assertFalse(told.has_seen_outage())
-        now[0] += LAPSE_S
-        self.assertFalse(seeing.has_seen_outage())
+        self.assertFalse(told.has_local_outage())
+        now[0] += RENEWAL_S
+        self.assertFalse(seeing.has_local_outage())
         self.assertFalse(told.may_have_lapsed())
 
     def test_daemon_that_was_told_of_an_outage_does_not_tell_it_on(self):
@@ -191,14 +191,14 @@
                 await anyio.sleep(SETTLED_S)
                 (reader,) = readers_of(site)
                 parts = reader.daemon.parts
-                parts.health.note_told_of_outage()
+                parts.health.note_peer_outage()
                 told = []
                 parts.states.queue = told.append
-                parts.endpoint_reader.sharing.tell(
+                parts.endpoint_reader.sharing.send_update(
                     TableView(
                         version=10**6,
                         changed=10**6,
-                        behind=0,
+                        preceding_change=0,
                         as_of=anyio.current_time(),
                     )
                 )
@@ -216,7 +216,7 @@
                 site.network.cut(reader.machine, '10.200.0.1')
                 await anyio.sleep(3)
                 site.network.heal()
-                await anyio.sleep(3 * LAPSE_S)
+                await anyio.sleep(3 * RENEWAL_S)
                 replica = app_of(site)
                 site.unlist_replica(replica)
                 await anyio.sleep(PEER_SILENCE_S)
