--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/choice.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/choice.py
@@ -143,11 +143,11 @@
             for record in self._roster.open_to(service)
             if record.id not in excluding
         ]
-        return self._rollouts.narrow(
+        return self._rollouts.filter_endpoints(
             service,
             records,
             request_id=request_id,
-            may_be_trial=not excluding,
+            allow_trial=not excluding,
             weight=trial_weight,
         )
 
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/operator_items.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/operator_items.py
@@ -56,4 +56,4 @@
 
     @_take.register
     def _(self, item: RolloutOrder, key: str) -> None:
-        self._rollouts.take_order(item)
+        self._rollouts.apply_order(item)
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/rollout_clearing.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/rollout_clearing.py
@@ -1,24 +1,25 @@
-"""Ends the use of endpoints whose version was replaced."""
+"""Drains endpoints whose version was replaced by a roll-out."""
 
 from dataclasses import dataclass
 
 from mimosamux_daemon.domain.rollouts import Rollout, RolloutStage
 from mimosamux_daemon.gateway.roster import Roster
 
-CLEAR_S = 2.0
-"""Time for which streams run on at a version that is given up: most end in
-it, and what is left is moved."""
-ROLLOUT = 'a roll-out'
+DRAIN_S = 2.0
+"""Time for which streams continue at a replaced version. Most end within it;
+the others are moved."""
+SOURCE = 'a roll-out'
+"""Source of the leave notice in logs."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class RolloutClearing:
-    """Has endpoints left once another version has taken over."""
+    """Drains the endpoints of other versions after a takeover."""
 
     roster: Roster
 
     def note_step(self, rollout: Rollout) -> None:
-        """Take endpoints of other versions as leaving when it is time."""
+        """Mark endpoints of other versions as leaving at the clearing step."""
         if rollout.stage is not RolloutStage.CLEARING:
             return
         for record in tuple(self.roster.by_id.values()):
@@ -26,5 +27,5 @@
             is_other = record.listed.software != rollout.order.version
             if is_of_service and is_other:
                 self.roster.note_leaving(
-                    record.id, left_s=CLEAR_S, source=ROLLOUT
+                    record.id, left_s=DRAIN_S, source=SOURCE
                 )
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/rollout_duty.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/rollout_duty.py
@@ -1,4 +1,9 @@
-"""Carries orders for new versions out, as the holder of the duty."""
+"""Executes roll-out orders, as the daemon that holds the lease of this duty.
+
+A roll-out passes through the stages trial (a share of the requests), takeover
+(every new request) and clearing (remaining streams move). It ends completed
+or, if the new version is judged bad, reverted.
+"""
 
 import math
 from collections.abc import Callable, Iterator
@@ -31,33 +36,34 @@
 log = get_log('rollout_duty')
 
 TICK_S = 0.25
-TOLD_S = 0.5
-"""Time between two words of the share that a version may get."""
-TAKEOVER_S = 1.0
-"""Time for which the new version has every new request before the others are
-given up: it can still be taken back then."""
-UNTOLD_S = 2.0
-"""Longest wait for daemons to say that a step is in force there."""
-BUSY_SHARE = 0.7
-"""Share of its time for which an endpoint may be busy once its version has
-every request."""
-LAST_S = 0.5
-"""Time before the end of an order at which a trial without a verdict ends."""
-LATE_S = 8.0
-"""Time beyond the end of an order for which streams that run at the other
-versions are waited for: ending late costs less than cutting them off."""
+SHARE_INTERVAL_S = 0.5
+"""Time between two announcements of the share that a version may get."""
+MIN_TAKEOVER_S = 1.0
+"""Shortest time for which the new version gets every new request before the
+other versions are cleared. The roll-out can still be reverted in it."""
+CONFIRMATION_TIMEOUT_S = 2.0
+"""Longest wait for the other daemons to report that a step is in force."""
+MAX_UTILIZATION = 0.7
+"""Highest planned utilization of an endpoint once its version gets every
+request."""
+DECISION_MARGIN_S = 0.5
+"""Time before an order's deadline at which a trial without a verdict is
+reverted."""
+CLEARING_GRACE_S = 8.0
+"""Grace period after an order's deadline for streams at the other versions:
+ending late costs less than cutting them off."""
 
 
 class Judge(Protocol):
     """Judges a new version by its answers."""
 
     def judge(self, evidence: Evidence) -> Judgement:
-        """Return what the answers so far say of the new version."""
+        """Return the judgement that the answers so far support."""
 
 
 @dataclass(kw_only=True, slots=True)
 class RolloutDuty:
-    """The duty of bringing versions in, for as long as a lease is held."""
+    """Advances the roll-outs of all services while a lease is held."""
 
     rows: RolloutRows
     rollouts: Rollouts
@@ -69,20 +75,22 @@
     demand: Demand
     configuration: Callable[[], GatewayConfiguration]
     store_time: Callable[[], float | None]
-    """The store's clock in seconds, None before it was ever seen."""
+    """Returns the store's time in seconds, None while it is unknown."""
     clock: Callable[[], float]
     metrics: GatewayMetrics
     _needs_read: bool = True
-    """Whether a row may have changed that is not known here."""
-    _told_at: dict[ServiceName, float] = field(default_factory=dict)
+    """Whether the rows may contain steps that this daemon does not know."""
+    _announced_at: dict[ServiceName, float] = field(default_factory=dict)
+    """Time of the last share announcement for each service."""
     _judge_by_order: dict[int, Judge] = field(default_factory=dict)
-    _step_at: dict[ServiceName, tuple[int, float]] = field(
+    """Judges by the number of their order."""
+    _step_seen_at: dict[ServiceName, tuple[int, float]] = field(
         default_factory=dict
     )
-    """Newest step of each service, and since when it is known here."""
+    """Newest step of each service and the time it was first seen."""
 
     async def run(self, lease: Lease) -> None:
-        """Take one step after the other until cancelled."""
+        """Advance roll-outs until cancelled."""
         self._needs_read = True
         while True:
             if lease.is_valid() and self.rollouts.orders_by_service:
@@ -95,23 +103,23 @@
         self._needs_read = False
         now = self.store_time()
         if now is None or self.configuration().version == 0:
-            # Every service is unknown before the configuration is.
+            # Without a configuration every service would seem unknown.
             return
         for service, order in tuple(self.rollouts.orders_by_service.items()):
             known = self.rollouts.by_service.get(service)
             if known is None or known.rollout.order.number < order.number:
-                before = None if known is None else known.rollout
-                await self._begin(order, before, now)
+                previous = None if known is None else known.rollout
+                await self._start_rollout(order, previous, now)
             elif not known.rollout.stage.is_over:
                 await self._advance(known.rollout, now)
 
-    async def _begin(
-        self, order: RolloutOrder, before: Rollout | None, now: float
+    async def _start_rollout(
+        self, order: RolloutOrder, previous: Rollout | None, now: float
     ) -> None:
         stage, reason = self._find_first_stage(order)
         held_back: set[str] = set()
-        if before is not None:
-            held_back = set(before.unproven()) - {order.version}
+        if previous is not None:
+            held_back = set(previous.unproven()) - {order.version}
         rollout = Rollout(
             order=order,
             stage=stage,
@@ -130,8 +138,8 @@
         if order.within_s <= 0:
             return RolloutStage.REVERTED, 'no time to bring it in'
         serving = self.roster.serving(order.service)
-        runs = {record.listed.software for record in serving}
-        if runs == {order.version}:
+        running_versions = {record.listed.software for record in serving}
+        if running_versions == {order.version}:
             return RolloutStage.COMPLETED, 'it runs already'
         return RolloutStage.TRIAL, 'ordered'
 
@@ -146,29 +154,43 @@
     async def _advance_trial(self, rollout: Rollout, now: float) -> None:
         judgement = self._judge(rollout, now)
         if judgement.verdict is Verdict.BAD:
-            await self._step(rollout, RolloutStage.REVERTED, judgement.reason)
-        elif judgement.verdict is Verdict.GOOD and self._has_enough(rollout):
-            await self._step(rollout, RolloutStage.TAKEOVER, judgement.reason)
-        elif now >= rollout.ends_at - LAST_S:
+            await self._advance_to(
+                rollout, RolloutStage.REVERTED, judgement.reason
+            )
+        elif judgement.verdict is Verdict.GOOD and self._has_capacity(rollout):
+            await self._advance_to(
+                rollout, RolloutStage.TAKEOVER, judgement.reason
+            )
+        elif now >= rollout.ends_at - DECISION_MARGIN_S:
             reason = f'not proven in time: {judgement.reason}'
-            await self._step(rollout, RolloutStage.REVERTED, reason)
+            await self._advance_to(rollout, RolloutStage.REVERTED, reason)
         else:
-            self._tell_share(rollout, now)
+            self._announce_share(rollout, now)
 
     async def _advance_takeover(self, rollout: Rollout, now: float) -> None:
         judgement = self._judge(rollout, now)
         if judgement.verdict is Verdict.BAD:
-            await self._step(rollout, RolloutStage.REVERTED, judgement.reason)
+            await self._advance_to(
+                rollout, RolloutStage.REVERTED, judgement.reason
+            )
             return
-        since_s = self._since_s(rollout)
-        is_told = self._is_in_force(rollout) or since_s > UNTOLD_S
-        if is_told and since_s > TAKEOVER_S:
-            await self._step(rollout, RolloutStage.CLEARING, judgement.reason)
+        step_age_s = self._step_age_s(rollout)
+        is_confirmed = (
+            self._is_in_force(rollout) or step_age_s > CONFIRMATION_TIMEOUT_S
+        )
+        if is_confirmed and step_age_s > MIN_TAKEOVER_S:
+            await self._advance_to(
+                rollout, RolloutStage.CLEARING, judgement.reason
+            )
 
     async def _advance_clearing(self, rollout: Rollout, now: float) -> None:
-        is_clear = self._is_in_force(rollout) and not self._count_open(rollout)
-        if is_clear or now > rollout.ends_at + LATE_S:
-            await self._step(rollout, RolloutStage.COMPLETED, rollout.reason)
+        is_clear = self._is_in_force(rollout) and not self._count_in_flight(
+            rollout
+        )
+        if is_clear or now > rollout.ends_at + CLEARING_GRACE_S:
+            await self._advance_to(
+                rollout, RolloutStage.COMPLETED, rollout.reason
+            )
 
     def _judge(self, rollout: Rollout, now: float) -> Judgement:
         service = rollout.order.service
@@ -180,28 +202,28 @@
             Evidence(
                 by_kind={} if total is None else total.by_kind,
                 passed=(now - rollout.began_at) / rollout.order.within_s,
-                is_urgent=not self._others(rollout),
+                is_urgent=not self._endpoints_of_others(rollout),
             )
         )
 
-    def _has_enough(self, rollout: Rollout) -> bool:
-        """Whether the new version has endpoints for all requests.
+    def _has_capacity(self, rollout: Rollout) -> bool:
+        """Whether the new version has enough endpoints for all requests.
 
-        Without them a takeover would turn callers away.
+        With fewer of them a takeover would refuse requests.
         """
-        new = len(self._new(rollout))
-        others = len(self._others(rollout))
+        new = len(self._endpoints_of_new(rollout))
+        others = len(self._endpoints_of_others(rollout))
         busy = self.demand.peak_offered_load(rollout.order.service)
-        return new >= max(1, min(others, math.ceil(busy / BUSY_SHARE)))
+        return new >= max(1, min(others, math.ceil(busy / MAX_UTILIZATION)))
 
-    def _new(self, rollout: Rollout) -> list[EndpointRecord]:
+    def _endpoints_of_new(self, rollout: Rollout) -> list[EndpointRecord]:
         return [
             record
             for record in self.roster.serving(rollout.order.service)
             if record.listed.software == rollout.order.version
         ]
 
-    def _others(self, rollout: Rollout) -> list[EndpointRecord]:
+    def _endpoints_of_others(self, rollout: Rollout) -> list[EndpointRecord]:
         return [
             record
             for record in self.roster.serving(rollout.order.service)
@@ -209,30 +231,33 @@
         ]
 
     def _is_in_force(self, rollout: Rollout) -> bool:
-        """Whether each daemon that is in touch has said so."""
+        """Whether all reachable daemons report that a step is in force."""
         return all(
             counts is not None and (counts.number, counts.step) >= rollout.age
-            for counts in self._told_counts(rollout)
+            for counts in self._peer_counts(rollout)
         )
 
-    def _count_open(self, rollout: Rollout) -> int:
-        """Return the requests under way at endpoints of other versions."""
+    def _count_in_flight(self, rollout: Rollout) -> int:
+        """Count the requests in flight at other versions, at all daemons."""
         return self.tallies.open_elsewhere(rollout.order.service) + sum(
             counts.open_elsewhere
-            for counts in self._told_counts(rollout)
+            for counts in self._peer_counts(rollout)
             if counts is not None
         )
 
-    def _told_counts(self, rollout: Rollout) -> Iterator[Counts | None]:
+    def _peer_counts(self, rollout: Rollout) -> Iterator[Counts | None]:
         service = rollout.order.service
         for peer in self.states.fresh():
             yield self.tallies.peer_counts(peer.place.id, service)
 
-    def _tell_share(self, rollout: Rollout, now: float) -> None:
+    def _announce_share(self, rollout: Rollout, now: float) -> None:
         service = rollout.order.service
-        if self.clock() < self._told_at.get(service, 0.0) + TOLD_S:
+        if (
+            self.clock()
+            < self._announced_at.get(service, 0.0) + SHARE_INTERVAL_S
+        ):
             return
-        self._told_at[service] = self.clock()
+        self._announced_at[service] = self.clock()
         total = self.tallies.total(service)
         known = self.rollouts.by_service[service]
         if total is None or known.is_stopped:
@@ -242,20 +267,20 @@
             trials=total.trials,
             passed_s=now - rollout.began_at,
         )
-        word = known.word + 1
-        self.rollouts.take_share(rollout, word, share)
-        self.exchange.tell(rollout, word=word, share=share)
+        sequence = known.sequence + 1
+        self.rollouts.apply_share(rollout, sequence, share)
+        self.exchange.announce(rollout, sequence=sequence, share=share)
 
-    def _since_s(self, rollout: Rollout) -> float:
-        """Return the time since a step was first seen here."""
+    def _step_age_s(self, rollout: Rollout) -> float:
+        """Return the time since this daemon first saw the current step."""
         service = rollout.order.service
-        step, at = self._step_at.get(service, (0, 0.0))
+        step, at = self._step_seen_at.get(service, (0, 0.0))
         if step != rollout.step:
             at = self.clock()
-            self._step_at[service] = (rollout.step, at)
+            self._step_seen_at[service] = (rollout.step, at)
         return self.clock() - at
 
-    async def _step(
+    async def _advance_to(
         self, rollout: Rollout, stage: RolloutStage, reason: str
     ) -> None:
         await self._write(rollout.advance(stage, reason))
@@ -267,6 +292,6 @@
             return
         if result is WriteResult.CONFLICT:
             return
-        self.rollouts.take(rollout, source='own decision')
-        self.exchange.tell(rollout, word=0, share=0.0)
+        self.rollouts.apply_step(rollout, source='own decision')
+        self.exchange.announce(rollout, sequence=0, share=0.0)
         self.metrics.rollout_steps.inc({'stage': rollout.stage})
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/rollout_exchange.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/rollout_exchange.py
@@ -1,4 +1,4 @@
-"""What daemons tell each other of the steps of roll-outs."""
+"""Replicates steps and shares of roll-outs between daemons."""
 
 from dataclasses import dataclass
 
@@ -22,40 +22,45 @@
 
 @dataclass(kw_only=True, slots=True)
 class RolloutExchange:
-    """Keeps what the daemons know of roll-outs the same."""
+    """Keeps the roll-out views of all daemons in sync."""
 
     rollouts: Rollouts
     states: PeerStates
     peers: PeerLinks
 
     def __post_init__(self) -> None:
-        self.peers.handle(RolloutTold, self._take)
-        self.states.on_joined.append(self._tell_all)
+        self.peers.handle(RolloutTold, self._receive)
+        self.states.on_joined.append(self._send_all)
 
-    def tell(self, rollout: Rollout, *, word: int, share: float) -> None:
-        """Tell every daemon a step, or the share that it allows now."""
-        self.states.queue(_as_message(rollout, word, share))
+    def announce(
+        self, rollout: Rollout, *, sequence: int, share: float
+    ) -> None:
+        """Broadcast a step, or the share that it currently allows.
 
-    async def _tell_all(self, id_: DaemonId) -> None:
-        """Tell a process that has just started what is known here."""
+        `sequence` numbers the shares announced within a step.
+        """
+        self.states.queue(_as_message(rollout, sequence, share))
+
+    async def _send_all(self, id_: DaemonId) -> None:
+        """Send all roll-outs to a daemon that has just started."""
         for known in self.rollouts.by_service.values():
-            message = _as_message(known.rollout, known.word, known.share)
+            message = _as_message(known.rollout, known.sequence, known.share)
             await self.peers.notify(id_, message)
 
-    async def _take(self, sender: DaemonId, message: RolloutTold) -> None:
+    async def _receive(self, sender: DaemonId, message: RolloutTold) -> None:
         rollout = _as_rollout(message)
         if rollout is None:
             log.warning('rollout_unreadable', peer=sender)
             return
-        is_news = self.rollouts.take(rollout, source=sender)
-        is_news |= self.rollouts.take_share(
+        is_new = self.rollouts.apply_step(rollout, source=sender)
+        is_new |= self.rollouts.apply_share(
             rollout, message.word, message.share
         )
-        if is_news and self.states.forwards_messages:
+        if is_new and self.states.forwards_messages:
             self.states.queue(message)
 
 
-def _as_message(rollout: Rollout, word: int, share: float) -> RolloutTold:
+def _as_message(rollout: Rollout, sequence: int, share: float) -> RolloutTold:
     order = rollout.order
     return RolloutTold(
         service=order.service,
@@ -67,7 +72,7 @@
         began_at_ms=int(rollout.began_at * MS_PER_S),
         held_back=list(rollout.held_back),
         reason=rollout.reason,
-        word=word,
+        word=sequence,
         share=share,
     )
 
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/rollout_rows.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/rollout_rows.py
@@ -1,8 +1,9 @@
-"""Rows of the platform's table that keep how far each roll-out is.
+"""Persists the steps of roll-outs in the platform's table.
 
-A step is in force once its row is written, and a row is only written over
-the version that was read: of two holders, one of which does not know yet
-that it is none any more, only one can take the next step.
+A step is in force once its row is written. Each write requires the row version
+that was read before, as in optimistic concurrency control. So while a former
+lease holder does not know yet that it lost the lease, only one of the two
+holders can take the next step.
 """
 
 from collections.abc import Callable
@@ -37,33 +38,34 @@
 
 
 class WriteResult(Enum):
-    """What became of a step that was to be written."""
+    """Outcome of writing a step."""
 
     DONE = auto()
     CONFLICT = auto()
-    """Another holder was first; its step is known now."""
+    """Another holder wrote first; its step has been read."""
     UNKNOWN = auto()
-    """No answer: it may have been written."""
+    """The table did not answer; the step may have been written."""
 
 
 @dataclass(kw_only=True, slots=True)
 class RolloutRows:
-    """Reads the rows, and writes the steps of the holder."""
+    """Reads the rows, and writes steps on behalf of the lease holder."""
 
     table: Table
     rollouts: Rollouts
     render_status: Callable[[Rollout], Write]
-    """Makes the row in which the operator reads how far a roll-out is."""
+    """Builds the status row of a roll-out for operators."""
     orders_read: Callable[[], anyio.Event]
-    """Returns what is set once the operators' orders were read."""
+    """Returns an event that is set once the operators' orders were read."""
     first_read: anyio.Event = field(default_factory=anyio.Event)
+    """Set once the rows were read, or there was no order to read them for."""
     _version_by_service: dict[ServiceName, int] = field(default_factory=dict)
 
     async def run(self) -> None:
-        """Read the rows once, however long that takes.
+        """Read the rows once, retrying until the table answers.
 
-        Without an order there is nothing to read, and a call of each daemon
-        that starts is spared; of later orders the holder tells.
+        Without an order there is nothing to read, which saves each starting
+        daemon a call. Steps of later orders are announced by the lease holder.
         """
         await self.orders_read().wait()
         while self.rollouts.orders_by_service:
@@ -78,11 +80,11 @@
         if isinstance(rows, Unavailable):
             return False
         for row in rows:
-            self._take(row)
+            self._apply_row(row)
         return True
 
     async def write(self, rollout: Rollout) -> WriteResult:
-        """Write a step down, and what the operator reads of it."""
+        """Write a step and its status row for operators."""
         service = rollout.order.service
         key = PREFIX + service
         version = self._version_by_service.get(service, 0)
@@ -101,19 +103,19 @@
             return WriteResult.UNKNOWN
         self._version_by_service[service] = 0
         if outcome.found is not None:
-            self._take(outcome.found)
+            self._apply_row(outcome.found)
         return WriteResult.CONFLICT
 
-    def _take(self, row: Row) -> None:
+    def _apply_row(self, row: Row) -> None:
         service = ServiceName(row.key.removeprefix(PREFIX))
         self._version_by_service[service] = row.version
         rollout = parse_rollout(service, row)
         if rollout is not None:
-            self.rollouts.take(rollout, source='the table')
+            self.rollouts.apply_step(rollout, source='the table')
 
 
 def render_rollout(rollout: Rollout) -> bytes:
-    """Return a roll-out as its row holds it."""
+    """Serialize a roll-out as a row value."""
     return orjson.dumps(
         {
             'version': rollout.order.version,
@@ -129,7 +131,7 @@
 
 
 def parse_rollout(service: ServiceName, row: Row) -> Rollout | None:
-    """Return what a row says, None if it cannot be understood."""
+    """Parse a row value, None if it is malformed."""
     try:
         fields = orjson.loads(row.value)
         return Rollout(
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/rollouts.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/rollouts.py
@@ -1,8 +1,11 @@
-"""The roll-outs that this daemon knows of, and what they allow.
-
-The holder of the duties decides and writes down; the others are told, or
-read the rows when they start. What is known only moves on: a later order
-before an earlier one, a later step before an earlier one.
+"""This daemon's view of the roll-outs, and the endpoints they allow.
+
+A roll-out moves a service to a new software version: in its trial the version
+gets a share of the requests, like a canary, and is judged by its answers. The
+daemon that holds the lease of the roll-out duty decides each step and stores
+it. It announces steps to the other daemons, which also read the rows when
+they start. A view only advances: a later order replaces an earlier one, and a
+later step an earlier step.
 """
 
 import math
@@ -22,39 +25,42 @@
 
 log = get_log('rollouts')
 
-SHARE_S = 2.0
-"""Time for which a share that the holder allowed holds; without word of it,
-a daemon goes back to the share that is safe at any number of daemons."""
-SAFE_PART = 0.8
-"""Part of the operator's share that is drawn without any agreement: drawn
-one by one, requests stay below the share by chance alone."""
-FEWEST_TRIED = 3
-"""Endpoints of the new version that the trial's requests go to at least: one
-that is ill by itself is then told from a version that is."""
-DRAW_BITS = 64
+SHARE_VALIDITY_S = 2.0
+"""Validity of an announced share. When it expires, a daemon falls back to the
+share that is safe for any number of daemons."""
+SAFE_FRACTION = 0.8
+"""Fraction of the operator's share that daemons use without coordination.
+Each request is drawn independently, and this margin keeps the total below
+the share despite random variation."""
+MIN_TRIAL_ENDPOINTS = 3
+"""Smallest number of endpoints in a trial, so that a single faulty endpoint
+can be distinguished from a faulty version."""
+HASH_BITS = 64
+"""Width of the hash that a draw is made from."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class RolloutLimits:
-    """What an unproven version may get."""
+    """Bounds on the requests that an unproven version may get."""
 
     share: float = 0.1
-    """Of all requests to its service, for as long as it is tried."""
+    """Fraction of all requests to its service during the trial."""
     tolerance: float = 50.0
-    """Requests beyond the share."""
+    """Number of requests allowed in excess of the share."""
 
 
 @dataclass(kw_only=True, slots=True)
-class KnownRollout:
-    """A roll-out as it is known here."""
+class RolloutView:
+    """This daemon's view of one roll-out."""
 
     rollout: Rollout
-    word: int = 0
-    """Newest word of the holder in this step."""
+    sequence: int = 0
+    """Sequence number of the newest announced share of this step."""
     share: float = 0.0
-    share_until: float = -math.inf
+    share_expires_at: float = -math.inf
+    """Time on the monotonic clock at which the share expires."""
     is_stopped: bool = False
-    """Whether this daemon has stopped the trial by itself."""
+    """Whether this daemon stopped the trial on its own."""
 
 
 Listener = Callable[[Rollout], None]
@@ -62,24 +68,27 @@
 
 @dataclass(kw_only=True, slots=True)
 class Rollouts:
-    """Roll-outs by service."""
+    """Keeps the roll-outs by service and applies them to requests."""
 
     limits: RolloutLimits
     serving: Callable[[ServiceName], Sequence[EndpointRecord]]
-    """Returns the endpoints of a service that take work."""
+    """Returns the endpoints of a service that accept requests."""
     is_alone: Callable[[], bool]
-    """Whether other daemons are known and none is in touch."""
+    """Returns whether other daemons are known but none is reachable."""
     clock: Callable[[], float]
-    by_service: dict[ServiceName, KnownRollout] = field(default_factory=dict)
+    by_service: dict[ServiceName, RolloutView] = field(default_factory=dict)
     orders_by_service: dict[ServiceName, RolloutOrder] = field(
         default_factory=dict
     )
-    """The newest order for each, as the operator wrote it."""
+    """The newest order of the operator for each service."""
     on_changed: list[Listener] = field(default_factory=list)
-    """Told of each step that is new here."""
+    """Called with each roll-out step that is new to this daemon."""
+
+    def apply_order(self, order: RolloutOrder) -> None:
+        """Store an order if it is the newest of its service.
 
-    def take_order(self, order: RolloutOrder) -> None:
-        """Take an order; nothing is sent to its version before its trial."""
+        Its version gets no requests until its trial begins.
+        """
         known = self.orders_by_service.get(order.service)
         if known is not None and order.number <= known.number:
             return
@@ -92,13 +101,13 @@
             number=order.number,
         )
 
-    def take(self, rollout: Rollout, *, source: str) -> bool:
-        """Take how far a roll-out is; False if that is nothing new."""
+    def apply_step(self, rollout: Rollout, *, source: str) -> bool:
+        """Store a step of a roll-out; False if it is not newer."""
         service = rollout.order.service
         known = self.by_service.get(service)
         if known is not None and rollout.age <= known.rollout.age:
             return False
-        self.by_service[service] = KnownRollout(rollout=rollout)
+        self.by_service[service] = RolloutView(rollout=rollout)
         log.info(
             'rollout_step',
             service=service,
@@ -113,20 +122,22 @@
             listener(rollout)
         return True
 
-    def take_share(self, rollout: Rollout, word: int, share: float) -> bool:
-        """Take the share that the holder allows for now, if it is news."""
+    def apply_share(
+        self, rollout: Rollout, sequence: int, share: float
+    ) -> bool:
+        """Store the share announced for a trial; False if it is outdated."""
         known = self.by_service.get(rollout.order.service)
         if known is None or known.rollout.age != rollout.age:
             return False
-        if word <= known.word:
+        if sequence <= known.sequence:
             return False
-        known.word = word
+        known.sequence = sequence
         known.share = share
-        known.share_until = self.clock() + SHARE_S
+        known.share_expires_at = self.clock() + SHARE_VALIDITY_S
         return True
 
     def stop_trial(self, service: ServiceName, reason: str) -> None:
-        """Send nothing more to a version under trial from here."""
+        """Stop sending requests of this daemon to a version under trial."""
         known = self.by_service[service]
         if not known.is_stopped:
             known.is_stopped = True
@@ -138,14 +149,14 @@
             )
 
     def current(self, service: ServiceName) -> Rollout | None:
-        """Return the roll-out that goes on for a service, if any."""
+        """Return the roll-out in progress for a service, if any."""
         known = self.by_service.get(service)
         if known is None or known.rollout.stage.is_over:
             return None
         return known.rollout
 
     def is_changing(self, service: ServiceName) -> bool:
-        """Whether a service has, or shall have, two versions at once."""
+        """Whether a roll-out of a service is pending or in progress."""
         order = self.orders_by_service.get(service)
         known = self.by_service.get(service)
         if known is None:
@@ -159,38 +170,38 @@
         """Return the share of requests that go to a version under trial."""
         known = self.by_service.get(service)
         if known is None or known.is_stopped or self.is_alone():
-            # Alone, it would not learn of bad answers that others had.
+            # An isolated daemon does not learn of bad answers elsewhere.
             return 0.0
         if known.rollout.stage is not RolloutStage.TRIAL:
             return 0.0
-        if self.clock() < known.share_until:
+        if self.clock() < known.share_expires_at:
             return known.share
-        return SAFE_PART * self.limits.share
+        return SAFE_FRACTION * self.limits.share
 
-    def narrow(
+    def filter_endpoints(
         self,
         service: ServiceName,
         records: Sequence[EndpointRecord],
         *,
         request_id: str,
-        may_be_trial: bool,
+        allow_trial: bool,
         weight: float = 1.0,
     ) -> list[EndpointRecord]:
-        """Return the endpoints whose version a request may go to.
+        """Return those of the endpoints to which a request may go.
 
-        `weight` is how much more often than others requests of its route are
-        tried.
+        `weight` multiplies the share for the request's route, so that rare
+        routes are sampled more often.
         """
         order = self.orders_by_service.get(service)
         known = self.by_service.get(service)
         if order is None and known is None:
             return list(records)
-        unproven = self._unproven(order, known)
-        proven = _leave_out(records, unproven)
+        unproven = self._unproven_versions(order, known)
+        proven = _exclude_versions(records, unproven)
         if known is None or known.rollout.stage.is_over:
             if known is None and not self._has_proven(service, unproven):
-                # An order for the version that runs, or one whose steps
-                # nobody has told of yet: there is nothing else to use.
+                # The order is for the version that runs already, or its
+                # steps are not known yet: no other version can be used.
                 return list(records)
             return proven
         version = known.rollout.order.version
@@ -200,17 +211,19 @@
         if known.rollout.stage is not RolloutStage.TRIAL:
             return new or proven
         share = weight * self.share(service)
-        if may_be_trial and draw(request_id) < share:
-            return choose_tried(new, self.limits.share) or proven
+        if allow_trial and draw(request_id) < share:
+            return choose_trial_endpoints(new, self.limits.share) or proven
         return proven
 
     def find_proven(
         self, service: ServiceName, records: Sequence[EndpointRecord]
     ) -> list[EndpointRecord]:
-        """Return the endpoints that any request may go to."""
+        """Return those of the endpoints whose version is proven."""
         order = self.orders_by_service.get(service)
         known = self.by_service.get(service)
-        return _leave_out(records, self._unproven(order, known))
+        return _exclude_versions(
+            records, self._unproven_versions(order, known)
+        )
 
     def _has_proven(self, service: ServiceName, unproven: set[str]) -> bool:
         return any(
@@ -218,8 +231,8 @@
             for record in self.serving(service)
         )
 
-    def _unproven(
-        self, order: RolloutOrder | None, known: KnownRollout | None
+    def _unproven_versions(
+        self, order: RolloutOrder | None, known: RolloutView | None
     ) -> set[str]:
         unproven: set[str] = set()
         if known is not None:
@@ -232,7 +245,7 @@
         return unproven
 
 
-def _leave_out(
+def _exclude_versions(
     records: Sequence[EndpointRecord], versions: set[str]
 ) -> list[EndpointRecord]:
     return [
@@ -241,19 +254,19 @@
 
 
 def draw(request_id: str) -> float:
-    """Return a number from 0 to 1 that a request has everywhere."""
+    """Hash an id to a number from 0 to 1, the same at every daemon."""
     digest = xxhash.xxh3_64_intdigest(f'trial {request_id}'.encode())
-    return float(digest / 2**DRAW_BITS)
+    return float(digest / 2**HASH_BITS)
 
 
-def choose_tried(
+def choose_trial_endpoints(
     records: Iterable[EndpointRecord], share: float
 ) -> list[EndpointRecord]:
-    """Return the endpoints of a new version that are tried.
+    """Return the endpoints of a new version that take part in its trial.
 
-    So few of them that each has as much to do as one of the old version: a
-    version that fails under load alone would pass otherwise.
+    Their number is limited so that each gets as much load as an endpoint of
+    the old version; a version that fails only under load would pass otherwise.
     """
     ranked = sorted(records, key=lambda record: draw(record.id))
-    count = max(FEWEST_TRIED, math.ceil(share * len(ranked)))
+    count = max(MIN_TRIAL_ENDPOINTS, math.ceil(share * len(ranked)))
     return ranked[:count]
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/stream_moves.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/stream_moves.py
@@ -129,11 +129,11 @@
             for record in self.roster.open_to(stream.service.name)
             if record.id != stream.record.id and not record.is_unreachable(now)
         ]
-        records = self.rollouts.narrow(
+        records = self.rollouts.filter_endpoints(
             stream.service.name,
             records,
             request_id=stream.request_id,
-            may_be_trial=False,
+            allow_trial=False,
         )
         if not records:
             return None
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/trial_share.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/trial_share.py
@@ -7,7 +7,7 @@
 
 from dataclasses import dataclass
 
-from mimosamux_daemon.gateway.rollouts import SAFE_PART, RolloutLimits
+from mimosamux_daemon.gateway.rollouts import SAFE_FRACTION, RolloutLimits
 
 TOLERANCE_PART = 0.5
 """Part of the tolerance that is spent; the rest is for what is under way
@@ -25,7 +25,7 @@
 
     def find(self, *, requests: int, trials: int, passed_s: float) -> float:
         """Return the share, from the counts of all daemons so far."""
-        safe = SAFE_PART * self.limits.share
+        safe = SAFE_FRACTION * self.limits.share
         if requests == 0 or passed_s <= 0:
             return safe
         left = (
--- a/tests/support/platform_site.py
+++ b/tests/support/platform_site.py
@@ -114,7 +114,7 @@
     _started: int = 0
 
     async def start_platform(self):
-        self.cloud.on_order = self.take_order
+        self.cloud.on_order = self.apply_order
         await self.serve(STORE, self.store.handle)
         await self.serve(CLOUD, self.cloud.handle)
         self.write_configuration()
@@ -203,7 +203,7 @@
         self.network.kill(machine_of(replica.address))
         self.scope_by_replica[replica.id].cancel()
 
-    def take_order(self, service, zone, is_reclaimable, count):
+    def apply_order(self, service, zone, is_reclaimable, count):
         there = [
             replica
             for replica in self.replicas_by_id.values()
--- a/tests/support/trial_model.py
+++ b/tests/support/trial_model.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 
 from mimosamux_daemon.domain.names import EndpointId
-from mimosamux_daemon.gateway.rollouts import SAFE_PART, RolloutLimits
+from mimosamux_daemon.gateway.rollouts import SAFE_FRACTION, RolloutLimits
 from mimosamux_daemon.gateway.trial_judge import Evidence, Verdict
 from mimosamux_daemon.gateway.trial_share import TrialShare
 from mimosamux_daemon.gateway.trial_tallies import (
@@ -110,7 +110,7 @@
         self.by_kind = {}
         self.told = deque()
         """Counts of the last moments: when, requests, trials, tallies."""
-        self.share = SAFE_PART * LIMITS.share
+        self.share = SAFE_FRACTION * LIMITS.share
         self.weights = {}
         self.is_stopped = False
         self.bad = 0
--- a/tests/test_gateway_trials.py
+++ b/tests/test_gateway_trials.py
@@ -12,8 +12,8 @@
 )
 from mimosamux_daemon.gateway.endpoint_record import EndpointRecord
 from mimosamux_daemon.gateway.rollouts import (
-    SAFE_PART,
-    SHARE_S,
+    SAFE_FRACTION,
+    SHARE_VALIDITY_S,
     RolloutLimits,
     Rollouts,
 )
@@ -66,12 +66,12 @@
             clock=lambda: self.now,
         )
 
-    def versions(self, request_id='r', *, may_be_trial=True):
-        found = self.rollouts.narrow(
+    def versions(self, request_id='r', *, allow_trial=True):
+        found = self.rollouts.filter_endpoints(
             SERVICE,
             self.records,
             request_id=request_id,
-            may_be_trial=may_be_trial,
+            allow_trial=allow_trial,
         )
         return {record.listed.software for record in found}
 
@@ -92,7 +92,9 @@
                     requests, trials = 0, 0
                     for _ in range(daemons):
                         fleet = Fleet()
-                        fleet.rollouts.take(make_rollout(), source='test')
+                        fleet.rollouts.apply_step(
+                            make_rollout(), source='test'
+                        )
                         own = rng.randrange(1, 2000 // daemons + 2)
                         requests += own
                         trials += sum(
@@ -105,27 +107,27 @@
     def test_share_of_the_holder_ends_without_a_further_word(self):
         fleet = Fleet()
         rollout = make_rollout()
-        fleet.rollouts.take(rollout, source='test')
-        fleet.rollouts.take_share(rollout, 1, 0.5)
+        fleet.rollouts.apply_step(rollout, source='test')
+        fleet.rollouts.apply_share(rollout, 1, 0.5)
         allowed = fleet.rollouts.share(SERVICE)
-        fleet.now = SHARE_S + 0.1
+        fleet.now = SHARE_VALIDITY_S + 0.1
         self.assertEqual(
             (allowed, fleet.rollouts.share(SERVICE)),
-            (0.5, SAFE_PART * LIMITS.share),
+            (0.5, SAFE_FRACTION * LIMITS.share),
         )
 
     def test_daemon_that_hears_no_other_tries_nothing(self):
         fleet = Fleet()
-        fleet.rollouts.take(make_rollout(), source='test')
+        fleet.rollouts.apply_step(make_rollout(), source='test')
         fleet.is_alone = True
         self.assertEqual(fleet.count_trials(200), 0)
 
     def test_older_word_of_the_share_changes_nothing(self):
         fleet = Fleet()
         rollout = make_rollout()
-        fleet.rollouts.take(rollout, source='test')
-        fleet.rollouts.take_share(rollout, 5, 0.02)
-        self.assertFalse(fleet.rollouts.take_share(rollout, 4, 0.5))
+        fleet.rollouts.apply_step(rollout, source='test')
+        fleet.rollouts.apply_share(rollout, 5, 0.02)
+        self.assertFalse(fleet.rollouts.apply_share(rollout, 4, 0.5))
         self.assertEqual(fleet.rollouts.share(SERVICE), 0.02)
 
     def test_share_spends_no_more_than_part_of_the_tolerance(self):
@@ -152,14 +154,14 @@
 
     def test_version_of_an_order_gets_nothing_before_its_trial(self):
         fleet = Fleet()
-        fleet.rollouts.take_order(make_rollout().order)
+        fleet.rollouts.apply_order(make_rollout().order)
         self.assertEqual(fleet.versions(), {'v1'})
 
     def test_request_that_was_sent_before_goes_to_no_trial(self):
         fleet = Fleet()
-        fleet.rollouts.take(make_rollout(), source='test')
+        fleet.rollouts.apply_step(make_rollout(), source='test')
         found = {
-            frozenset(fleet.versions(f'r{n}', may_be_trial=False))
+            frozenset(fleet.versions(f'r{n}', allow_trial=False))
             for n in range(200)
         }
         self.assertEqual(found, {frozenset({'v1'})})
@@ -168,35 +170,35 @@
         for stage in (RolloutStage.TAKEOVER, RolloutStage.CLEARING):
             with self.subTest(stage=stage):
                 fleet = Fleet()
-                fleet.rollouts.take(make_rollout(stage), source='test')
+                fleet.rollouts.apply_step(make_rollout(stage), source='test')
                 self.assertEqual(fleet.count_trials(50), 50)
 
     def test_reverted_version_gets_nothing(self):
         fleet = Fleet()
-        fleet.rollouts.take(make_rollout(), source='test')
+        fleet.rollouts.apply_step(make_rollout(), source='test')
         reverted = make_rollout(RolloutStage.REVERTED, step=2)
-        fleet.rollouts.take(reverted, source='test')
+        fleet.rollouts.apply_step(reverted, source='test')
         self.assertEqual(fleet.count_trials(200), 0)
 
     def test_older_step_and_older_order_change_nothing(self):
         fleet = Fleet()
         reverted = make_rollout(RolloutStage.REVERTED, number=7, step=2)
-        fleet.rollouts.take(reverted, source='test')
+        fleet.rollouts.apply_step(reverted, source='test')
         for late in (
             make_rollout(number=7, step=1),
             make_rollout(RolloutStage.TAKEOVER, number=6, step=9),
         ):
-            self.assertFalse(fleet.rollouts.take(late, source='test'))
+            self.assertFalse(fleet.rollouts.apply_step(late, source='test'))
         self.assertEqual(fleet.count_trials(200), 0)
 
     def test_order_for_the_only_version_there_is_leaves_it_in_use(self):
         fleet = Fleet(old=0)
-        fleet.rollouts.take_order(make_rollout().order)
+        fleet.rollouts.apply_order(make_rollout().order)
         self.assertEqual(fleet.versions(), {'v2'})
 
     def test_daemon_that_stops_a_trial_sends_it_nothing_more(self):
         fleet = Fleet()
-        fleet.rollouts.take(make_rollout(), source='test')
+        fleet.rollouts.apply_step(make_rollout(), source='test')
         fleet.rollouts.stop_trial(SERVICE, 'bad answers')
         self.assertEqual(fleet.count_trials(200), 0)
 
