--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/begun_counts.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/begun_counts.py
@@ -1,4 +1,8 @@
-"""How many requests of each account began, by window of the time of day."""
+"""Counts the requests that each account began, by metering window.
+
+Each daemon reports its own counts in its digests and keeps those that its
+peers report.
+"""
 
 from collections import Counter
 from collections.abc import Callable, Mapping
@@ -9,36 +13,37 @@
 from mimosamux_daemon.domain.names import AccountId, DaemonId
 from mimosamux_daemon.gateway.peer_states import PeerState
 
-TOLD_WINDOWS = 2
-"""Windows before the current one that digests still tell of."""
-KEPT_WINDOWS = 12
+REPORTED_WINDOWS = 2
+"""Past windows whose counts are reported in digests, besides the current
+one."""
+RETAINED_WINDOWS = 12
 
 CountsByAccount = Counter[AccountId]
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class _Process:
-    """One process of a daemon; the next counts from zero again."""
+class _Incarnation:
+    """One incarnation of a daemon. Each one counts from zero."""
 
     daemon: DaemonId
-    lifetime: int
+    incarnation: int
 
 
 @dataclass(kw_only=True, slots=True)
 class BegunCounts:
-    """Counts of this daemon and of its peers, also of those that died."""
+    """Request counts of this daemon and its peers, dead ones included."""
 
     window_s: float
     now: Callable[[], float]
-    """Time of day on which the daemons agree."""
+    """Return the time of day that the daemons agree on."""
     _own: dict[int, CountsByAccount] = field(default_factory=dict)
-    _by_process: dict[_Process, dict[int, CountsByAccount]] = field(
+    _by_incarnation: dict[_Incarnation, dict[int, CountsByAccount]] = field(
         default_factory=dict
     )
 
     @property
     def window(self) -> int:
-        """Return the number of the current window."""
+        """Number of the current window."""
         return int(self.now() // self.window_s)
 
     def note(self, account: AccountId) -> None:
@@ -47,19 +52,19 @@
         counts = self._own.get(window)
         if counts is None:
             counts = self._own[window] = Counter()
-            _drop_old(self._own, window - KEPT_WINDOWS)
+            _drop_expired(self._own, window - RETAINED_WINDOWS)
         counts[account] += 1
 
     def total(self, window: int) -> Mapping[AccountId, int]:
         """Return the counts of all daemons in a window."""
         total: CountsByAccount = Counter()
-        for windows in (self._own, *self._by_process.values()):
+        for windows in (self._own, *self._by_incarnation.values()):
             total.update(windows.get(window, {}))
         return total
 
     def write(self, digest: StateDigest) -> None:
-        """Tell the counts of the last windows."""
-        first = self.window - TOLD_WINDOWS
+        """Add this daemon's counts of the last windows to its digest."""
+        first = self.window - REPORTED_WINDOWS
         for window, counts in self._own.items():
             if window < first:
                 continue
@@ -69,23 +74,25 @@
             )
 
     def take(self, peer: PeerState, digest: StateDigest) -> None:
-        """Take the counts of a peer in place of those it told before."""
-        process = _Process(daemon=peer.place.id, lifetime=peer.incarnation)
-        windows = self._by_process.setdefault(process, {})
+        """Replace a peer's counts by those in its new digest."""
+        process = _Incarnation(
+            daemon=peer.place.id, incarnation=peer.incarnation
+        )
+        windows = self._by_incarnation.setdefault(process, {})
         for window in {use.window for use in digest.windows}:
             windows[window] = Counter()
         for use in digest.windows:
             windows[use.window][AccountId(use.account)] = use.requests
-        self._drop_all_old()
+        self._drop_all_expired()
 
-    def _drop_all_old(self) -> None:
-        oldest = self.window - KEPT_WINDOWS
-        for process, windows in tuple(self._by_process.items()):
-            _drop_old(windows, oldest)
+    def _drop_all_expired(self) -> None:
+        oldest = self.window - RETAINED_WINDOWS
+        for process, windows in tuple(self._by_incarnation.items()):
+            _drop_expired(windows, oldest)
             if not windows:
-                del self._by_process[process]
+                del self._by_incarnation[process]
 
 
-def _drop_old(windows: dict[int, CountsByAccount], oldest: int) -> None:
+def _drop_expired(windows: dict[int, CountsByAccount], oldest: int) -> None:
     for window in [each for each in windows if each < oldest]:
         del windows[window]
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/cap_loans.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/cap_loans.py
@@ -1,10 +1,11 @@
-"""Shares of caps that daemons lend each other.
-
-Each daemon may let through an equal part of what is left of a cap before its
-peers confirm to know of it. With many daemons a part is smaller than one long
-prompt, while most of them have nothing of the account under way. So one that
-needs more borrows from others: whoever lends a share of its part does without
-until it is given back, and all of them together still have each part once.
+"""Borrows and lends shares of usage cap allotments between daemons.
+
+Each daemon may admit an equal share of a remaining cap, its allotment, before
+its peers acknowledge the use. With many daemons an allotment is smaller than
+one long prompt, while most daemons have no unacknowledged use of the account.
+A daemon that needs more therefore borrows: a lender does without the share
+that it lends until it is returned, so all daemons together never have more
+than their allotments.
 """
 
 import math
@@ -23,75 +24,80 @@
 
 log = get_log('cap_loans')
 
-ASK_S = 0.1
-"""Longest wait for a lender; it answers within a few ms, and the caller
-waits meanwhile."""
-USUAL_SHARE = 0.5
-"""Share of a part that one daemon is asked for at most: most of them have
-so much to spare."""
-SPARE_LENDERS = 1
-"""Lenders asked beyond those needed: one may have uses of its own."""
-MOST_LOANS = 6
-"""Loans for one request at most: what needs more is near the cap, where the
-parts are worth too little."""
+BORROW_TIMEOUT_S = 0.1
+"""Timeout of a loan request. A lender answers within a few ms, and the
+client's request waits meanwhile."""
+MAX_SHARE_PER_LOAN = 0.5
+"""Largest share of its allotment that one daemon is asked for: most daemons
+can spare that much."""
+EXTRA_LENDERS = 1
+"""Lenders asked in addition to those needed, as one may need its allotment
+itself."""
+MAX_LOANS = 6
+"""Maximum number of loans for one client request: a request that needs more is
+close to the cap, where allotments are too small to help."""
 RETURN_POLL_S = 0.2
 
 
 @dataclass(kw_only=True, slots=True)
 class CapLoans:
-    """Borrows shares of caps, lends own ones, gives borrowed ones back."""
+    """Requests, grants and returns loans of allotment shares."""
 
     caps: UsageCaps
     states: PeerStates
     peers: Peers
     clock: Callable[[], float]
     rng: random.Random
-    _number: int = 0
-    _owed: dict[int, tuple[AccountId, DaemonId]] = field(default_factory=dict)
-    """Whom each borrowed part is to be given back to."""
+    _last_number: int = 0
+    _lender_by_loan: dict[int, tuple[AccountId, DaemonId]] = field(
+        default_factory=dict
+    )
+    """Account and lender of each borrowed share, by loan number."""
 
     def __post_init__(self) -> None:
-        self.peers.handle(CapLoanWanted, self._lend)
-        self.peers.handle(CapLoanReturned, self._take_back)
+        self.peers.handle(CapLoanWanted, self._handle_request)
+        self.peers.handle(CapLoanReturned, self._handle_return)
 
     async def borrow(
-        self, account: AccountId, parts: float, *, tried: set[DaemonId]
+        self, account: AccountId, shares: float, *, tried: set[DaemonId]
     ) -> bool:
-        """Borrow as much as some parts of a cap; False if nobody is left.
+        """Borrow `shares` allotments of a cap; False if no lender is left.
 
-        Who was asked is added to `tried`, and not asked again.
+        Daemons that were asked are added to `tried`, and not asked again.
         """
-        count = min(math.ceil(parts / USUAL_SHARE), MOST_LOANS)
-        lenders = self._find_lenders(count + SPARE_LENDERS, tried)
+        count = min(math.ceil(shares / MAX_SHARE_PER_LOAN), MAX_LOANS)
+        lenders = self._find_lenders(count + EXTRA_LENDERS, tried)
         tried.update(lenders)
         granted: list[float] = []
 
-        async def ask(lender: DaemonId) -> None:
-            granted.append(await self._ask(lender, account, parts / count))
+        async def request(lender: DaemonId) -> None:
+            granted.append(
+                await self._request_loan(lender, account, shares / count)
+            )
 
         async with anyio.create_task_group() as tasks:
             for lender in lenders:
-                tasks.start_soon(ask, lender)
+                tasks.start_soon(request, lender)
         log.info(
             'cap_borrowed',
             account=account,
-            wanted=round(parts, 3),
+            wanted=round(shares, 3),
             asked=len(lenders),
             granted=round(sum(granted), 3),
         )
         return bool(lenders)
 
     async def run(self) -> None:
-        """Give back what is not needed any more, until cancelled."""
+        """Return unneeded shares until cancelled."""
         while True:
             await anyio.sleep(RETURN_POLL_S)
             await self.return_unneeded()
 
     async def return_unneeded(self) -> None:
-        """Give back the shares that own uses need no longer."""
+        """Return the borrowed shares that the own use does not need."""
         self.caps.settle_loans()
         for number in self.caps.loans.pop_unneeded():
-            account, lender = self._owed.pop(number)
+            account, lender = self._lender_by_loan.pop(number)
             await self.peers.notify(
                 lender,
                 CapLoanReturned(
@@ -104,22 +110,22 @@
     def _find_lenders(
         self, count: int, tried: Collection[DaemonId] = ()
     ) -> list[DaemonId]:
-        """Return daemons to ask, those of the own data centre first."""
-        here = self.states.place.data_centre
+        """Return lenders to ask, those of the own data centre first."""
+        own_data_centre = self.states.place.data_centre
         ready = [
             peer for peer in self.states.ready() if peer.place.id not in tried
         ]
         self.rng.shuffle(ready)
-        ready.sort(key=lambda peer: peer.place.data_centre != here)
+        ready.sort(key=lambda peer: peer.place.data_centre != own_data_centre)
         return [peer.place.id for peer in ready[:count]]
 
-    async def _ask(
+    async def _request_loan(
         self, lender: DaemonId, account: AccountId, share: float
     ) -> float:
-        """Return the share of its part that a daemon has lent."""
-        self._number += 1
-        number = self._number
-        asked_at = self.clock()
+        """Request a loan and return the share of the lender's allotment."""
+        self._last_number += 1
+        number = self._last_number
+        requested_at = self.clock()
         answer = await self.peers.call(
             lender,
             CapLoanWanted(
@@ -128,21 +134,23 @@
                 number=number,
                 share=share,
             ),
-            timeout_s=ASK_S,
+            timeout_s=BORROW_TIMEOUT_S,
         )
         if not isinstance(answer, CapLoan) or answer.share <= 0:
             return 0.0
-        self._owed[number] = (account, lender)
+        self._lender_by_loan[number] = (account, lender)
         loans = self.caps.loans
-        loans.note_borrowed(number, account, answer.share, asked_at)
+        loans.note_borrowed(number, account, answer.share, requested_at)
         return answer.share
 
-    async def _lend(self, sender: DaemonId, message: CapLoanWanted) -> CapLoan:
+    async def _handle_request(
+        self, sender: DaemonId, message: CapLoanWanted
+    ) -> CapLoan:
         account = AccountId(message.account)
         id_ = (message.lifetime, message.number)
         return CapLoan(share=self.caps.lend(account, id_, message.share))
 
-    async def _take_back(
+    async def _handle_return(
         self, sender: DaemonId, message: CapLoanReturned
     ) -> None:
         self.caps.loans.note_returned(
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/cap_record.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/cap_record.py
@@ -1,4 +1,8 @@
-"""A record in the platform's table of what accounts used of their caps."""
+"""Keeps a record of recent account usage in the platform's table.
+
+Daemons that start read it, so that usage caps hold even after all daemons have
+died at once.
+"""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -16,32 +20,33 @@
 log = get_log('cap_record')
 
 ROW_KEY = 'caps/recent'
-LOOK_S = 0.2
-"""Time between two looks whether the record is out of date."""
-MOVED_SHARE = 0.35
-"""The record is written anew once an account has used so much of what its
-cap allows in a second: twice a second in calm, at each look in a flood."""
+POLL_S = 0.2
+"""Interval of checks whether the record is out of date."""
+WRITE_SHARE = 0.35
+"""Use since the last record at which it is rewritten, as a fraction of the
+cap's rate per second: twice a second under normal load, and at every check in
+a burst."""
 
 
 @dataclass(kw_only=True, slots=True)
 class CapRecord:
-    """Reads the record at the start, and keeps it afterwards."""
+    """Reads the record once at the start and writes it afterwards."""
 
     table: Table
     caps: UsageCaps
     states: PeerStates
     store_time: Callable[[], float | None]
-    """The store's clock in seconds, None before it was ever seen."""
+    """Return the store's time in seconds, None before it was ever seen."""
 
     async def run(self) -> None:
-        """Read once, then write until cancelled."""
+        """Read the record once, then keep it up to date until cancelled."""
         is_read = False
         while True:
             if not is_read:
                 is_read = await self._read()
-            elif self.caps.has_moved(MOVED_SHARE) and self._is_writer():
+            elif self.caps.has_moved(WRITE_SHARE) and self._is_writer():
                 await self._write()
-            await anyio.sleep(LOOK_S)
+            await anyio.sleep(POLL_S)
 
     async def _read(self) -> bool:
         row = await self.table.read(ROW_KEY)
@@ -64,7 +69,7 @@
         await self.table.commit([], [Write(key=ROW_KEY, value=value)])
 
     def _is_writer(self) -> bool:
-        """Whether this daemon is the one of those in touch that writes."""
+        """Whether this daemon has the lowest id of all in touch."""
         ids = [peer.place.id for peer in self.states.fresh()]
         return self.states.place.id <= min(ids, default='~')
 
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/clock.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/clock.py
@@ -1,13 +1,13 @@
-"""The clock by which a daemon judges how old what it knows is."""
+"""Clock by which a daemon measures the age of its information."""
 
 import time
 
 
 def steady_time() -> float:
-    """Return seconds since the machine started, suspended ones included.
+    """Return seconds since the machine started, time suspended included.
 
-    The runtime's clock stands still while a machine is suspended. After
-    that it would let a lease, a key or a list that is long out of date
-    pass as fresh.
+    The event loop's clock stops while a machine is suspended. With it, a
+    lease, a key or a list that expired during the suspension would still count
+    as fresh.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/duties.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/duties.py
@@ -1,4 +1,4 @@
-"""Work that one daemon does for all, under a lease."""
+"""Duties that one daemon performs for all, as the holder of a lease."""
 
 import random
 from collections.abc import Callable
@@ -18,33 +18,37 @@
 
 LEASE_NAME = 'duties'
 RENEW_SHARE = 0.3
-"""Part of a lease's time after which it is renewed: three renewals may
-fail before it is lost."""
+"""Renewal interval as a fraction of the lease duration: three renewals may
+fail before the lease is lost."""
 STOP_SHARE = 0.15
-"""Part of its time before the end at which the holder stops acting."""
-TAKE_SHARE = 0.15
-"""Part of its time that a successor waits beyond the end."""
+"""Margin before expiry at which the holder stops acting, as a fraction of the
+lease duration."""
+TAKEOVER_SHARE = 0.15
+"""Time that a successor waits after expiry, as a fraction of the lease
+duration."""
 POLL_S = 0.4
 CALL_TIMEOUT_S = 0.8
 CANDIDATES = 3
-"""Daemons that look for the lease in a site with relays: after a loss of all,
-two hundred would look two and a half times a second each."""
+"""Daemons that try to acquire the lease in a site with relays: after the loss
+of all daemons, two hundred would otherwise each read the table two and a half
+times per second."""
 UNFENCED_MARGIN_S = DUTY_CALL_TIMEOUT_S + 0.5
-"""Wait beyond a lease's time where the platform honours no fencing numbers:
-an order of the old holder can be under way for as long as it waits for the
-answer, and its hanging up for half a second more. At 10 s a site that lost
-all its daemons was without orders and usage reports for 14 s, through two
-reclaims; three windows of usage were never reported."""
+"""Wait after expiry of a lease on a platform that honours no fencing numbers:
+an order of the previous holder can be in transit for as long as that holder
+waits for the answer, and for half a second more until it closes the
+connection. With 10 s, a site that lost all its daemons was without orders and
+usage reports for 14 s, through two reclaims, and three windows of usage were
+never reported."""
 
 
 def lease_policy(duration_s: float) -> LeasePolicy:
-    """Return the times of a lease of a duration."""
+    """Return the lease policy for a lease duration in seconds."""
     return LeasePolicy(
         duration_s=duration_s,
         renew_interval_s=RENEW_SHARE * duration_s,
         poll_interval_s=POLL_S,
         stop_margin_s=STOP_SHARE * duration_s,
-        take_margin_s=TAKE_SHARE * duration_s,
+        take_margin_s=TAKEOVER_SHARE * duration_s,
         unfenced_margin_s=UNFENCED_MARGIN_S,
         call_timeout_s=CALL_TIMEOUT_S,
         restart_ends_lease=True,
@@ -52,7 +56,7 @@
 
 
 class Duties:
-    """Takes part in holding the duties' lease, and does the duties."""
+    """Competes for the lease, and performs the duties while it holds it."""
 
     def __init__(
         self,
@@ -80,32 +84,32 @@
             policy=policy,
             randomness=rng,
             fencing_is_honoured=lambda: checks_fencing,
-            may_try=self._may_try,
-            is_known_ended=self._is_known_ended,
+            may_try=self._may_acquire,
+            is_known_ended=self._is_released,
             is_cut_off=self._is_cut_off,
             clock=clock,
         )
 
     @property
     def held(self) -> Lease | None:
-        """The lease, while this daemon holds it."""
+        """The lease while this daemon holds it, otherwise None."""
         return self._keeper.held
 
     async def run(
         self, *, metering: Metering, scaling: Scaling, rollouts: RolloutDuty
     ) -> None:
-        """Do the duties whenever the lease is held, until cancelled."""
+        """Perform the duties whenever the lease is held, until cancelled."""
 
-        async def act(lease: Lease) -> None:
+        async def run_duties(lease: Lease) -> None:
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(metering.run, lease)
                 tasks.start_soon(scaling.run, lease)
                 tasks.start_soon(rollouts.run, lease)
 
-        await self._keeper.run(act)
+        await self._keeper.run(run_duties)
 
     def write(self, digest: StateDigest) -> None:
-        """Tell whether this daemon holds the lease."""
+        """Add the fencing number of the held lease or the ended version."""
         held = self.held
         if held is not None and held.is_valid():
             digest.lease_fencing = held.fencing
@@ -113,21 +117,21 @@
             digest.lease_ended_version = self._keeper.ended_version
 
     def take(self, peer: PeerState, digest: StateDigest) -> None:
-        """Nothing to do: it is part of the peer's state."""
+        """Do nothing: `PeerStates` takes over the lease fields."""
 
-    def _is_known_ended(self, version: int) -> bool:
-        """Whether the holder has told that it acts no more at a version."""
+    def _is_released(self, version: int) -> bool:
+        """Whether a peer reports that it gave up the lease at a version."""
         return any(
             peer.lease_ended_version == version
             for peer in self._states.fresh()
         )
 
     def _is_cut_off(self) -> bool:
-        """Whether other daemons say that the table answers them."""
+        """Whether a peer reports that the table answers it."""
         return any(peer.reads_tables for peer in self._states.fresh())
 
-    def _may_try(self) -> bool:
-        """Whether no live holder is known, so that the table is asked."""
+    def _may_acquire(self) -> bool:
+        """Whether this daemon may try to acquire the lease."""
         if self.is_stopping:
             return False
         fresh = self._states.fresh()
@@ -135,9 +139,9 @@
             return False
         if self._states.is_flat:
             return True
-        before = sum(
+        preceding = sum(
             peer.place.id < self._states.place.id
             for peer in self._states.ready()
             if peer.reads_tables
         )
-        return before < CANDIDATES
+        return preceding < CANDIDATES
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/endpoint_limits.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/endpoint_limits.py
@@ -1,12 +1,13 @@
-"""Keeps endpoints within the limits that they name.
+"""Rate limits that overloaded endpoints report, shared among the daemons.
 
-An endpoint in need says how many requests a second it takes from all daemons
-together. Daemons tell each other of it. As many of them as the limit has
-whole requests a second send there, each its equal share, and the others send
-nothing: with a share for each of hundreds, hundreds could send at once. Which
-ones they are follows from a rendezvous hash, so nothing has to be agreed on,
-and changes after a while: one that gets no requests, or cannot reach the
-endpoint, would keep its share from all others.
+An endpoint in need reports how many requests per second it accepts from all
+daemons together, and the daemons announce the limit to each other in their
+digests. As many daemons as the limit has whole requests per second send there,
+each with an equal share of it, and the others send nothing: with a share for
+each of hundreds of daemons, hundreds could send at once. A rendezvous hash
+selects the daemons, so they need no agreement. The selection rotates, as a
+daemon that receives no requests, or cannot reach the endpoint, would otherwise
+withhold its share from all others.
 """
 
 import math
@@ -28,42 +29,42 @@
 
 log = get_log('endpoint_limits')
 
-SHARE_PER_S = 1.0
-"""Least share of a daemon, in requests a second, where there are several."""
+MIN_SHARE_PER_S = 1.0
+"""Minimum share of a daemon, in requests per second, if several have one."""
 LEAST_PER_S = 0.25
-"""Rate at which an endpoint that takes nothing, or next to nothing, is asked
-whether that still holds; well above one request in a turn."""
+"""Minimum rate, at which an endpoint that accepts nothing, or almost nothing,
+is probed for a change; well above one request per rotation."""
 TURN_S = 10.0
-"""Time after which other daemons have the shares of an endpoint."""
-SETTLE_S = 0.25
-"""Pause between two looks at who has which share."""
-KEEP_LIFTED_S = 30.0
-"""Time for which an endpoint that names no limit any more is told of."""
+"""Time after which the shares of an endpoint move to other daemons."""
+REASSIGN_S = 0.25
+"""Interval at which shares are reassigned."""
+ANNOUNCE_LIFTED_S = 30.0
+"""Time for which digests announce that a limit is lifted."""
 LOGGED_CHANGE = 0.25
-"""Part of a limit by which it has to change to be logged again."""
+"""Fraction by which a limit has to change to be logged again."""
 
 
 @dataclass(kw_only=True, slots=True)
 class NamedLimit:
-    """What an endpoint has said of its limit last, as far as is known."""
+    """The limit that an endpoint last reported, as far as is known."""
 
     per_s: float | None
-    """Requests a second from all daemons, None: as many as come."""
+    """Requests per second from all daemons, None: unlimited."""
     said_ms: int
-    """When it said so, on the store's clock."""
-    known_at: float
-    """When it was heard here, on the steady clock."""
+    """Time of the report, in ms of the store's clock."""
+    received_at: float
+    """Time at which this daemon learned of it, on the steady clock."""
     is_own: bool
-    """Whether it said so to this daemon."""
+    """Whether the endpoint reported it to this daemon."""
 
 
 @dataclass(kw_only=True, slots=True)
-class _Deal:
-    """What the daemons with a share follow from, and whether this is one."""
+class _Assignment:
+    """Whether this daemon has a share, and the inputs of that selection."""
 
     ready: tuple[DaemonId, ...]
     count: int
-    turn: int
+    rotation: int
     is_own: bool = field(default=False, compare=False)
 
 
@@ -77,12 +78,12 @@
     clock: Callable[[], float]
     by_id: dict[EndpointId, NamedLimit] = field(default_factory=dict)
     _unreadable: set[EndpointId] = field(default_factory=set)
-    """Endpoints of which a limit that makes no sense was logged."""
-    _deals: dict[EndpointId, _Deal] = field(default_factory=dict)
-    """The last ones: to rank hundreds of daemons for each answer would cost
-    more than the answer."""
-    _named: anyio.Event = field(default_factory=anyio.Event)
-    """Set, and replaced by a new one, when an endpoint names a limit."""
+    """Endpoints whose unreadable limit was logged."""
+    _assignments: dict[EndpointId, _Assignment] = field(default_factory=dict)
+    """Last assignment of each endpoint. To rank hundreds of daemons for each
+    answer would cost more than the answer."""
+    _limit_added: anyio.Event = field(default_factory=anyio.Event)
+    """Set, and replaced by a new one, when an endpoint becomes limited."""
 
     def note_answer(
         self,
@@ -92,90 +93,91 @@
         sent_at: float,
         is_served: bool,
     ) -> None:
-        """Take what the answer to a request that was sent then says.
+        """Update an endpoint's limit from its answer to a request.
 
-        A limit that makes no sense changes nothing. Only a request that was
-        served, and sent since the limit is known, shows that there is none
-        any more.
+        An unreadable limit changes nothing. Only a request that was served,
+        and that was sent after the limit became known, shows that the limit is
+        lifted.
         """
         if isinstance(per_s, UnreadableLimit):
             self._note_unreadable(record.id, per_s.text, OWN_ANSWER)
             return
         if per_s is None and not (
-            is_served and self._is_known_since(record.id, sent_at)
+            is_served and self._was_known_at(record.id, sent_at)
         ):
             return
         now = self.clock()
-        word = NamedLimit(
+        limit = NamedLimit(
             per_s=per_s if per_s is None else max(per_s, LEAST_PER_S),
             said_ms=self.shared_time.to_store_ms(now) or 0,
-            known_at=now,
+            received_at=now,
             is_own=True,
         )
-        self._take(record, word, source=OWN_ANSWER)
+        self._store(record, limit, source=OWN_ANSWER)
 
     def forget(self, id_: EndpointId) -> None:
-        """Forget an endpoint that is gone."""
+        """Remove the state of an endpoint that is gone."""
         self.by_id.pop(id_, None)
-        self._deals.pop(id_, None)
+        self._assignments.pop(id_, None)
         self._unreadable.discard(id_)
 
     def write(self, digest: StateDigest) -> None:
-        """Tell what endpoints have said to this daemon."""
+        """Add the limits that endpoints reported to this daemon."""
         now = self.clock()
-        for id_, word in self.by_id.items():
+        for id_, limit in self.by_id.items():
             record = self.roster.by_id.get(id_)
-            is_past = (
-                word.per_s is None and now - word.known_at > KEEP_LIFTED_S
+            is_long_lifted = (
+                limit.per_s is None
+                and now - limit.received_at > ANNOUNCE_LIFTED_S
             )
-            if record is None or not word.is_own or is_past:
+            if record is None or not limit.is_own or is_long_lifted:
                 continue
             digest.limits.append(
                 EndpointLimit(
                     endpoint=id_,
-                    per_s=word.per_s or 0.0,
-                    said_ms=word.said_ms,
+                    per_s=limit.per_s or 0.0,
+                    said_ms=limit.said_ms,
                     incarnation=record.incarnation,
                 )
             )
 
     def take(self, peer: PeerState, digest: StateDigest) -> None:
-        """Take what endpoints have said to a peer."""
-        for told in digest.limits:
-            id_ = EndpointId(told.endpoint)
+        """Take over newer limits that endpoints reported to a peer."""
+        for reported in digest.limits:
+            id_ = EndpointId(reported.endpoint)
             record = self.roster.by_id.get(id_)
             known = self.by_id.get(id_)
             if record is None or not self.roster.is_current(
-                id_, told.incarnation
+                id_, reported.incarnation
             ):
                 continue
-            if known is not None and told.said_ms <= known.said_ms:
+            if known is not None and reported.said_ms <= known.said_ms:
                 continue
-            if not 0 <= told.per_s < math.inf:
-                self._note_unreadable(id_, str(told.per_s), peer.place.id)
+            if not 0 <= reported.per_s < math.inf:
+                self._note_unreadable(id_, str(reported.per_s), peer.place.id)
                 continue
-            word = NamedLimit(
-                per_s=told.per_s or None,
-                said_ms=told.said_ms,
-                known_at=self.clock(),
+            limit = NamedLimit(
+                per_s=reported.per_s or None,
+                said_ms=reported.said_ms,
+                received_at=self.clock(),
                 is_own=False,
             )
-            self._take(record, word, source=peer.place.id)
+            self._store(record, limit, source=peer.place.id)
 
     async def run(self) -> None:
-        """Keep the shares as the daemons are, until cancelled."""
+        """Reassign shares as daemons come and go, until cancelled."""
         while True:
-            self._named = anyio.Event()
-            pause_s = SETTLE_S if self._settle_all() else math.inf
+            self._limit_added = anyio.Event()
+            pause_s = REASSIGN_S if self._assign_all_shares() else math.inf
             with anyio.move_on_after(pause_s):
-                await self._named.wait()
+                await self._limit_added.wait()
 
-    def _is_known_since(self, id_: EndpointId, at: float) -> bool:
-        """Whether all that named a limit had been heard by a moment."""
+    def _was_known_at(self, id_: EndpointId, at: float) -> bool:
+        """Whether an endpoint's current limit was known at a time."""
         known = self.by_id.get(id_)
         if known is None or known.per_s is None:
             return False
-        return at >= known.known_at
+        return at >= known.received_at
 
     def _note_unreadable(
         self, id_: EndpointId, text: str, source: str
@@ -186,68 +188,70 @@
                 'limit_unreadable', endpoint=id_, limit=text, source=source
             )
 
-    def _take(
-        self, record: EndpointRecord, word: NamedLimit, source: str
+    def _store(
+        self, record: EndpointRecord, limit: NamedLimit, source: str
     ) -> None:
         known = self.by_id.get(record.id)
         before = None if known is None else known.per_s
-        self.by_id[record.id] = word
-        if not _is_close(before, word.per_s):
+        self.by_id[record.id] = limit
+        if not _is_close(before, limit.per_s):
             log.info(
                 'endpoint_limited',
                 endpoint=record.id,
-                per_s=word.per_s,
+                per_s=limit.per_s,
                 before=before,
                 source=source,
             )
-        self._settle(record, word, self._find_ready())
-        if before is None and word.per_s is not None:
-            if word.is_own:
+        self._assign_share(record, limit, self._ready_daemons())
+        if before is None and limit.per_s is not None:
+            if limit.is_own:
                 self.states.expedite()
-            self._named.set()
+            self._limit_added.set()
 
-    def _settle_all(self) -> bool:
-        """Find the shares anew; False if no endpoint has a limit."""
-        is_any = False
-        ready = self._find_ready()
-        for id_, word in self.by_id.items():
+    def _assign_all_shares(self) -> bool:
+        """Reassign all shares; False if no endpoint has a limit."""
+        is_any_limited = False
+        ready = self._ready_daemons()
+        for id_, limit in self.by_id.items():
             record = self.roster.by_id.get(id_)
-            if record is not None and word.per_s is not None:
-                is_any = True
-                self._settle(record, word, ready)
-        return is_any
+            if record is not None and limit.per_s is not None:
+                is_any_limited = True
+                self._assign_share(record, limit, ready)
+        return is_any_limited
 
-    def _settle(
+    def _assign_share(
         self,
         record: EndpointRecord,
-        word: NamedLimit,
+        limit: NamedLimit,
         ready: tuple[DaemonId, ...],
     ) -> None:
-        if word.per_s is None:
+        if limit.per_s is None:
             record.share = None
             return
         now = self.clock()
         if record.share is None:
             record.share = RateShare(filled_at=now)
         share = record.share
-        share.limit_per_s = word.per_s
-        share.change(self._find_share(record.id, word.per_s, ready), now)
+        share.limit_per_s = limit.per_s
+        share.change(self._own_share(record.id, limit.per_s, ready), now)
 
-    def _find_share(
+    def _own_share(
         self, id_: EndpointId, per_s: float, ready: tuple[DaemonId, ...]
     ) -> float:
-        """Return how much of a limit is this daemon's now."""
-        count = min(len(ready), max(1, math.ceil(per_s / SHARE_PER_S)))
+        """Return this daemon's share of a limit in requests per second."""
+        count = min(len(ready), max(1, math.ceil(per_s / MIN_SHARE_PER_S)))
         store_now = self.shared_time.store_now() or 0.0
-        deal = _Deal(ready=ready, count=count, turn=int(store_now / TURN_S))
-        if self._deals.get(id_) != deal:
-            first = rank(ready, f'{id_} {deal.turn}')[:count]
-            deal.is_own = self.states.place.id in first
-            self._deals[id_] = deal
-        return per_s / count if self._deals[id_].is_own else 0.0
+        assignment = _Assignment(
+            ready=ready, count=count, rotation=int(store_now / TURN_S)
+        )
+        if self._assignments.get(id_) != assignment:
+            selected = rank(ready, f'{id_} {assignment.rotation}')[:count]
+            assignment.is_own = self.states.place.id in selected
+            self._assignments[id_] = assignment
+        return per_s / count if self._assignments[id_].is_own else 0.0
 
-    def _find_ready(self) -> tuple[DaemonId, ...]:
-        """Return the daemons among which shares are dealt out."""
+    def _ready_daemons(self) -> tuple[DaemonId, ...]:
+        """Return the daemons among which shares are assigned."""
         ready = [peer.place.id for peer in self.states.ready()]
         if self.states.state is MemberState.READY or not ready:
             ready.append(self.states.place.id)
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/metering.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/metering.py
@@ -1,9 +1,9 @@
-"""Reports usage window by window, each with the same counts for good.
+"""Reports usage to the platform by window, with final counts.
 
-The platform takes two different reports of one window for two holders of
-the duty. What a window's counts are is therefore settled in the table
-before they are reported for the first time; whoever reports later, after
-a lost answer or as the next holder, reports what stands there.
+The platform takes two different reports of one window as a sign of two lease
+holders. The counts of a window are therefore finalized in the table before
+their first report; every later report, after a lost answer or by the next
+holder, repeats the stored counts.
 """
 
 from collections.abc import Callable
@@ -35,87 +35,89 @@
 log = get_log('metering')
 
 ROW_KEY = 'metering/settled'
-SETTLE_AFTER_S = 1.5
-"""Time after the end of a window for the last digests of it to come."""
+FINALIZE_DELAY_S = 1.5
+"""Time after the end of a window in which its last digests may still
+arrive."""
 TICK_S = 0.5
-KEPT_WINDOWS = 6
-"""Settled windows that the row keeps."""
+RETAINED_WINDOWS = 6
+"""Finalized windows that the row retains."""
 
 
 @dataclass(kw_only=True, slots=True)
 class Metering:
-    """The duty of reporting usage, for as long as a lease is held."""
+    """Reports usage while this daemon holds the lease."""
 
     table: Table
     calls: DutyCalls
     begun: BegunCounts
     lateness_s: float
-    """Time after the end of a window up to which its report is due."""
+    """Time after the end of a window until which its report is due."""
     metrics: GatewayMetrics
     lose_lease: Callable[[Lease], None]
     """Called when the platform has seen a higher fencing number."""
-    _settled: dict[int, dict[AccountId, int]] = field(default_factory=dict)
+    _finalized: dict[int, dict[AccountId, int]] = field(default_factory=dict)
     _reported: set[int] = field(default_factory=set)
     _version: int | None = None
-    """Version of the row as this holder last saw it."""
+    """Version of the row as last read or written, None: unknown."""
 
     async def run(self, lease: Lease) -> None:
-        """Settle and report until cancelled."""
+        """Finalize and report windows until cancelled."""
         self._version = None
         self._reported.clear()
         while True:
             if lease.is_valid():
-                await self._settle_due()
-                await self._report_settled(lease)
+                await self._finalize_due()
+                await self._report_finalized(lease)
             await anyio.sleep(TICK_S)
 
-    async def _settle_due(self) -> None:
+    async def _finalize_due(self) -> None:
         if self._version is None and not await self._read():
             return
         now = self.begun.now()
-        newest = int((now - SETTLE_AFTER_S) // self.begun.window_s) - 1
+        newest = int((now - FINALIZE_DELAY_S) // self.begun.window_s) - 1
         due = [
             window
-            for window in range(newest - KEPT_WINDOWS + 1, newest + 1)
-            if window not in self._settled and self._is_in_time(window, now)
+            for window in range(newest - RETAINED_WINDOWS + 1, newest + 1)
+            if window not in self._finalized and self._is_in_time(window, now)
         ]
         if due:
-            await self._settle(due)
+            await self._finalize(due)
 
-    async def _settle(self, windows: list[int]) -> None:
-        settled = dict(self._settled)
+    async def _finalize(self, windows: list[int]) -> None:
+        finalized = dict(self._finalized)
         for window in windows:
-            settled[window] = dict(self.begun.total(window))
-        kept = sorted(settled)[-KEPT_WINDOWS:]
-        settled = {window: settled[window] for window in kept}
+            finalized[window] = dict(self.begun.total(window))
+        retained = sorted(finalized)[-RETAINED_WINDOWS:]
+        finalized = {window: finalized[window] for window in retained}
         outcome = await self.table.commit(
             [Check(key=ROW_KEY, version=self._version or 0)],
-            [Write(key=ROW_KEY, value=_render(settled))],
+            [Write(key=ROW_KEY, value=_render(finalized))],
         )
         if isinstance(outcome, Committed):
-            self._settled = settled
+            self._finalized = finalized
             self._version = outcome.versions[ROW_KEY]
             return
-        # Written by somebody else, or nobody knows: what stands in the
-        # row is what counts, so it is read again before anything is sent.
+        # Another daemon has written the row, or the outcome is unknown. Only
+        # the stored counts are valid, so the row is read again before anything
+        # is reported.
         self._version = None
         reason = (
             'conflict' if isinstance(outcome, Conflict) else outcome.reason
         )
-        log.info('windows_not_settled', windows=windows, reason=reason)
+        log.info('windows_not_finalized', windows=windows, reason=reason)
 
     async def _read(self) -> bool:
         row = await self.table.read(ROW_KEY)
         if isinstance(row, Unavailable):
             return False
-        self._settled = {} if row is None else _parse(row)
+        self._finalized = {} if row is None else _parse(row)
         self._version = 0 if row is None else row.version
         return True
 
-    async def _report_settled(self, lease: Lease) -> None:
+    async def _report_finalized(self, lease: Lease) -> None:
         if self._version is None:
             return
-        for window in sorted(self._settled):
+        for window in sorted(self._finalized):
             if window in self._reported:
                 continue
             if not self._is_in_time(window, self.begun.now()):
@@ -126,7 +128,7 @@
             await self._report(window, lease)
 
     async def _report(self, window: int, lease: Lease) -> None:
-        counts = self._settled[window]
+        counts = self._finalized[window]
         outcome = await self.calls.report_usage(
             UsageReport(window=window, counts=counts),
             fencing=lease.fencing,
@@ -151,8 +153,8 @@
         return now < end + self.lateness_s
 
 
-def _render(settled: dict[int, dict[AccountId, int]]) -> bytes:
-    return orjson.dumps({str(key): value for key, value in settled.items()})
+def _render(finalized: dict[int, dict[AccountId, int]]) -> bytes:
+    return orjson.dumps({str(key): value for key, value in finalized.items()})
 
 
 def _parse(row: Row) -> dict[int, dict[AccountId, int]]:
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/rate_shares.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/rate_shares.py
@@ -1,56 +1,60 @@
-"""What one daemon may send to an endpoint that names a limit."""
+"""Token bucket for a daemon's share of an endpoint's rate limit."""
 
 from dataclasses import dataclass
 
 BURST_S = 0.5
-"""Time for which what is not used is kept, at least one request."""
+"""Capacity of the bucket, in seconds at the daemon's rate; at least one
+request."""
 ELSEWHERE_RETRY_S = 0.5
-"""When to come again if only other daemons may send there now."""
+"""Retry delay while only other daemons have a share."""
 
 
 @dataclass(kw_only=True, slots=True)
 class RateShare:
-    """A token bucket; times are of the steady clock."""
+    """A daemon's share of an endpoint's rate limit, as a token bucket.
+
+    Times are readings of the steady clock.
+    """
 
     filled_at: float
     limit_per_s: float = 0.0
-    """Requests a second that the endpoint takes from all daemons."""
+    """Requests per second that the endpoint accepts from all daemons."""
     per_s: float = 0.0
-    """How many of them are this daemon's, 0: none are now."""
+    """Requests per second that this daemon may send, 0 without a share."""
     left: float = 0.0
-    """Requests that may be sent now; below zero where some went there
-    without asking, as those that go on from a copy do."""
+    """Tokens: requests that may be sent now. Negative after requests that are
+    sent without a check, such as streams resumed from a copy."""
 
     def change(self, per_s: float, now: float) -> None:
-        """Go on with another rate.
+        """Change the rate.
 
-        A share that begins anew begins with nothing: whoever had it before
-        may just have used it.
+        A share that starts anew starts without tokens, as its previous owner
+        may just have used them.
         """
-        self._fill(now)
+        self._refill(now)
         if not self.per_s or not per_s:
             self.left = min(self.left, 0.0)
         self.per_s = per_s
 
     def has_room(self, now: float) -> bool:
         """Whether a request may be sent now."""
-        self._fill(now)
+        self._refill(now)
         return self.per_s > 0 and self.left >= 1
 
     def take(self, now: float) -> None:
-        """Count a request that is sent now."""
-        self._fill(now)
+        """Take a token for a request that is sent now."""
+        self._refill(now)
         self.left -= 1
 
     def opens_in_s(self, now: float) -> float:
-        """Return the time until a request may be sent."""
+        """Return the time in seconds until a request may be sent."""
         if not self.per_s:
             return ELSEWHERE_RETRY_S
-        self._fill(now)
+        self._refill(now)
         return max(0.0, (1 - self.left) / self.per_s)
 
-    def _fill(self, now: float) -> None:
-        most = max(1.0, self.per_s * BURST_S)
-        gained = self.per_s * (now - self.filled_at)
-        self.left = min(self.left + gained, most)
+    def _refill(self, now: float) -> None:
+        capacity = max(1.0, self.per_s * BURST_S)
+        added = self.per_s * (now - self.filled_at)
+        self.left = min(self.left + added, capacity)
         self.filled_at = now
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/retry_budget.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/retry_budget.py
@@ -1,9 +1,9 @@
-"""How often requests may be sent to a further endpoint.
+"""Retry budget: limits how many requests are sent to a further endpoint.
 
-The limit holds for all daemons together. Each keeps to its own part of it,
-so that it holds as well where daemons cannot talk to each other: a share
-of the requests that it passes on itself, and an equal part of what is
-allowed on top.
+The limit holds for all daemons together. Each daemon enforces its own part of
+it, so that the limit also holds while daemons cannot reach each other: a fixed
+share of the requests that the daemon forwards itself, and an equal part of the
+extra allowance.
 """
 
 from collections import Counter, defaultdict, deque
@@ -13,22 +13,22 @@
 from mimosamux_daemon.domain.names import ServiceName
 
 SHARE_USED = 0.8
-"""Part of the allowed share that is used; the rest covers requests that
+"""Fraction of the allowed share that is used; the rest covers requests that
 count in another window than their retries."""
 EXTRA_USED = 0.4
-"""Part of the extra allowance that is used: daemons that start anew have
-theirs again, and all of them may start anew within one window."""
+"""Fraction of the extra allowance that is used: a daemon that restarts has its
+part again, and all daemons may restart within one window."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class RetryLimits:
-    """Limits for a service, over all daemons."""
+    """Retry limits of a service, for all daemons together."""
 
     share: float
-    """Retries allowed for each request."""
+    """Retries allowed per request."""
     window_s: float
     extra: float
-    """Retries allowed in a window on top of the share."""
+    """Retries allowed per window in addition to the share."""
 
 
 class RetryBudget:
@@ -44,31 +44,31 @@
         self._limits = limits
         self._daemons = daemons
         self._clock = clock
-        self._log: deque[tuple[float, ServiceName, bool]] = deque()
+        self._events: deque[tuple[float, ServiceName, bool]] = deque()
         self._requests: Counter[ServiceName] = Counter()
         self._retries: dict[ServiceName, int] = defaultdict(int)
 
     def note_request(self, service: ServiceName) -> None:
-        """Count a caller's request."""
-        self._forget_old()
-        self._log.append((self._clock(), service, False))
+        """Count a caller's request, which adds to the budget."""
+        self._expire()
+        self._events.append((self._clock(), service, False))
         self._requests[service] += 1
 
     def take(self, service: ServiceName) -> bool:
-        """Spend one retry; False if none is left."""
-        self._forget_old()
+        """Spend one retry from the budget; False if none is left."""
+        self._expire()
         share = self._limits.share * SHARE_USED * self._requests[service]
         extra = self._limits.extra * EXTRA_USED / max(self._daemons(), 1)
         if self._retries[service] + 1 > share + extra:
             return False
-        self._log.append((self._clock(), service, True))
+        self._events.append((self._clock(), service, True))
         self._retries[service] += 1
         return True
 
-    def _forget_old(self) -> None:
+    def _expire(self) -> None:
         oldest = self._clock() - self._limits.window_s
-        while self._log and self._log[0][0] <= oldest:
-            _, service, is_retry = self._log.popleft()
+        while self._events and self._events[0][0] <= oldest:
+            _, service, is_retry = self._events.popleft()
             if is_retry:
                 self._retries[service] -= 1
             else:
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/shared_time.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/shared_time.py
@@ -1,9 +1,9 @@
 """A time of day on which the daemons agree.
 
-The clocks of VMs differ, and some jump by seconds. The platform's store
-has a steady clock that all daemons see. Each tells how far its own time of
-day is from that clock, and the median of what all tell is taken: the jump
-of a few VMs moves nothing.
+The clocks of VMs differ, and some jump by seconds. The platform's store has a
+steady clock that all daemons read. Each daemon reports the offset of its own
+time of day from that clock, and all take the median of the reported offsets,
+so that jumps on a few VMs change nothing.
 """
 
 import statistics
@@ -15,21 +15,21 @@
 from mimosamux_daemon.domain.names import DaemonId
 from mimosamux_daemon.gateway.peer_states import PeerState
 
-QUICKEST_S = 0.05
-"""More than the quickest answer of the store takes on its way."""
+MAX_FASTEST_S = 0.05
+"""Upper bound on the transit time of the store's fastest answer."""
 MS_PER_S = 1000
-KEEP_S = 600.0
-"""What a daemon told of its clock is used for so long after it is gone."""
+RETAIN_S = 600.0
+"""Time for which the last reported offset of a peer is used."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class _Told:
+class _PeerOffset:
     offset_s: float
     at: float
 
 
 class SharedTime:
-    """Tells the agreed time of day."""
+    """The agreed time of day, and conversions to and from store time."""
 
     def __init__(
         self, *, clock: Callable[[], float], wall_clock: Callable[[], float]
@@ -37,20 +37,20 @@
         self._clock = clock
         self._wall_clock = wall_clock
         self._store_lead_s: float | None = None
-        """The store's clock less the clock of this machine."""
-        self._told_by_peer: dict[DaemonId, _Told] = {}
+        """Store time minus this machine's clock, from the fastest answer."""
+        self._offset_by_peer: dict[DaemonId, _PeerOffset] = {}
 
     def note_store_time(self, store_s: float) -> float:
         """Take a reading of the store's clock that has just arrived.
 
-        An answer that took long shows an older time; the largest lead is
-        that of the quickest answer. Returns when the reading was made, on
-        the clock of this machine: not later than it truly was.
+        A slow answer carries an older time, so the largest lead belongs to the
+        fastest answer. Return the time of the reading on this machine's clock:
+        not later than the true one.
         """
         lead = store_s - self._clock()
         if self._store_lead_s is None or lead > self._store_lead_s:
             self._store_lead_s = lead
-        return store_s - self._store_lead_s - QUICKEST_S
+        return store_s - self._store_lead_s - MAX_FASTEST_S
 
     def now(self) -> float:
         """Return the agreed time of day, in seconds since 1970."""
@@ -60,50 +60,53 @@
         return store_now + self._agreed_offset_s(store_now)
 
     def store_now(self) -> float | None:
-        """Return the store's clock, None before it was ever seen."""
+        """Return the store's time in seconds, None before it was ever seen."""
         if self._store_lead_s is None:
             return None
         return self._clock() + self._store_lead_s
 
     def to_store_ms(self, at: float) -> int | None:
-        """Return a moment of this machine on the store's clock, or earlier.
+        """Convert a local time to store time in ms.
 
-        None before that clock was ever seen.
+        The result is never later than the true time; None before the store's
+        clock was ever seen.
         """
         if self._store_lead_s is None:
             return None
         return int((at + self._store_lead_s) * MS_PER_S)
 
     def from_store_ms(self, store_ms: int) -> float | None:
-        """Return a moment of the store on this machine's clock, or earlier.
+        """Convert a store time in ms to a local time.
 
-        A message that tells of it may have been under way for any time: the
-        age of what it tells does not rest on when it came.
+        The result is never later than the true time; None before the store's
+        clock was ever seen. A message may be in transit for any time, so the
+        age of what it reports follows from the store time in it and not from
+        its arrival.
         """
         if self._store_lead_s is None:
             return None
-        return store_ms / MS_PER_S - self._store_lead_s - QUICKEST_S
+        return store_ms / MS_PER_S - self._store_lead_s - MAX_FASTEST_S
 
     def write(self, digest: StateDigest) -> None:
-        """Tell how far the time of day here is from the store's clock."""
+        """Add the offset of the local time of day from the store's clock."""
         store_now = self.store_now()
         if store_now is not None:
             offset_s = self._wall_clock() - store_now
             digest.wall_offset_ms = int(offset_s * 1000)
 
     def take(self, peer: PeerState, digest: StateDigest) -> None:
-        """Take what a peer tells of its clock."""
+        """Take the clock offset that a peer reports."""
         if digest.wall_offset_ms:
-            self._told_by_peer[peer.place.id] = _Told(
+            self._offset_by_peer[peer.place.id] = _PeerOffset(
                 offset_s=digest.wall_offset_ms / 1000, at=self._clock()
             )
 
     def _agreed_offset_s(self, store_now: float) -> float:
-        oldest = self._clock() - KEEP_S
-        told = [
+        oldest = self._clock() - RETAIN_S
+        peer_offsets = [
             each.offset_s
-            for each in self._told_by_peer.values()
+            for each in self._offset_by_peer.values()
             if each.at > oldest
         ]
         own = self._wall_clock() - store_now
-        return statistics.median_low([*told, own])
+        return statistics.median_low([*peer_offsets, own])
--- a/tests/support/daemon_model.py
+++ b/tests/support/daemon_model.py
@@ -143,7 +143,7 @@
     async def borrow(self, parts):
         """Ask for parts one after the other, as nothing here waits."""
         for lender in self.loans._find_lenders(math.ceil(2 * parts) + 1):
-            await self.loans._ask(lender, ACCOUNT.id, min(parts, 0.5))
+            await self.loans._request_loan(lender, ACCOUNT.id, min(parts, 0.5))
 
     async def call(self, id_, message, *, timeout_s):
         """Have a peer answer at once; the way there or back may be lost."""
--- a/tests/test_gateway_schedules.py
+++ b/tests/test_gateway_schedules.py
@@ -129,10 +129,10 @@
             pause_s=0.01,
         )
 
-    def test_usage_reported_before_it_is_settled(self):
-        async def settle(self, windows):
+    def test_usage_reported_before_it_is_finalized(self):
+        async def finalize(self, windows):
             for window in windows:
-                self._settled[window] = dict(self.begun.total(window))
+                self._finalized[window] = dict(self.begun.total(window))
 
         schedule = [
             (0.0, 'cut_holder_from_peers', 0),
@@ -142,7 +142,7 @@
         self.assert_seen(
             'two reports',
             schedule,
-            mock.patch.object(Metering, '_settle', settle),
+            mock.patch.object(Metering, '_finalize', finalize),
         )
 
     def test_piece_of_an_event_passed_on(self):
