--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/configuration.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/configuration.py
@@ -41,7 +41,7 @@
         if version == self.current.version:
             self._confirmed_at = max(self._confirmed_at, at)
 
-    def take(self, document: ConfigurationDocument, *, source: str) -> bool:
+    def update(self, document: ConfigurationDocument, *, source: str) -> bool:
         """Put a newer version in force; return whether it is newer.
 
         Older versions are ignored: a late message must not bring back what
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/feed_reader.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/feed_reader.py
@@ -1,8 +1,8 @@
 """Replicates one table of the platform's store.
 
-The reader follows the table by long polling, or receives its changes as news
-from the daemon that reads the table for the others (`table_sharing`). If that
-news stays out, the reader polls the platform itself.
+The reader follows the table by long polling, or receives updates from the
+daemon that reads the table for the others (`table_sharing`). If the updates
+stop, the reader polls the platform itself.
 """
 
 import math
@@ -36,16 +36,16 @@
 """Bounds of the backoff while the platform does not answer. A daemon must
 notice its return within the time in which a change must be in force."""
 MAX_BACKOFF_WITH_PEERS_S = 2.0
-"""Upper bound of the backoff while other daemons send news of the table."""
+"""Upper bound of the backoff while other daemons send updates of the table."""
 SHARED_READ_WAIT_S = 1.3
 """Longest long poll of the daemon that reads for the others. They receive a
 change at once, and a confirmation without changes at this interval."""
 PEER_SILENCE_S = 2.2
-"""Time without news of a table after which a daemon reads it itself. A site
+"""Time without an update after which a daemon reads a table itself. A site
 with relays has 3 s or more to put a change in force everywhere."""
 PEER_SILENCE_JITTER = 0.25
-"""Jitter, as a part of that time. The first daemon that reads sends the news
-to the others, and saves them the call."""
+"""Jitter, as a part of that time. The first daemon that reads sends the
+update to the others, and saves them the call."""
 
 
 class FeedConsumer(Protocol[ConsumedT]):
@@ -97,7 +97,7 @@
         self._confirmed_at = -math.inf
         """Time up to which all changes are known."""
         self._read_now = anyio.Event()
-        """Set when news mentions a change without its rows."""
+        """Set when an update reveals a change whose rows are missing here."""
         self._had_outage = False
         self._backoff_s = MIN_BACKOFF_S
         self._refresh_lock = anyio.Lock()
@@ -144,9 +144,9 @@
                 await self._wait_for_peer_silence()
             await self._read_once()
 
-    def receive_news(self, news: TableNews) -> None:
+    def receive_update(self, update: TableNews) -> None:
         """Apply changes that another daemon has read from the table."""
-        view = self.sharing.receive(news)
+        view = self.sharing.receive(update)
         if view is None or self._cursor is None:
             return
         if view.changed > self._cursor:
@@ -177,12 +177,12 @@
         self, answer: FeedState[ItemT] | FeedNews[ItemT], as_of: float
     ) -> None:
         if self._cursor is not None and answer.cursor < self._cursor:
-            # News from a peer has brought a newer state meanwhile: the
-            # older rows of this answer would undo later changes.
+            # A peer's update has brought a newer state meanwhile: the older
+            # rows of this answer would undo later changes.
             return
         if isinstance(answer, FeedState):
-            # Peers get no news of a whole read: it does not say which row
-            # changed last, and each peer would read the table to find it.
+            # A whole read is not shared: it does not say which row changed
+            # last, and each peer would read the table to find it.
             self._consumer.replace(answer.items_by_key)
             self._note_progress(answer.cursor, answer.cursor, as_of)
             self.first_read.set()
@@ -217,6 +217,7 @@
             self._consumer.apply(new)
 
     def _note_progress(self, version: int, changed: int, as_of: float) -> None:
+        """Advance the cursor, and confirm all changes up to `as_of`."""
         self._cursor = max(self._cursor or 0, version)
         self._last_change = max(self._last_change, changed)
         self._confirmed_at = max(self._confirmed_at, as_of)
@@ -224,7 +225,7 @@
         self._consumer.confirm(as_of)
 
     async def _wait_for_peer_silence(self) -> None:
-        """Wait while news from peers keeps the table up to date."""
+        """Wait while updates from peers keep the table up to date."""
         limit_s = PEER_SILENCE_S * (
             1 - self._rng.uniform(0.0, PEER_SILENCE_JITTER)
         )
@@ -256,6 +257,7 @@
         return min(self._wait_s, SHARED_READ_WAIT_S)
 
     def _note_answer(self) -> None:
+        """Reset the backoff, and note the end of an outage."""
         self._backoff_s = MIN_BACKOFF_S
         if self.is_connected:
             return
@@ -272,6 +274,8 @@
             self._health.note_unanswered(self._name)
             log.warning('feed_lost', feed=self._name, reason=problem.reason)
         await anyio.sleep(self._backoff_s * self._rng.uniform(0.5, 1.0))
-        has_peer_news = self._clock() - self._confirmed_at < PEER_SILENCE_S
-        limit_s = MAX_BACKOFF_WITH_PEERS_S if has_peer_news else MAX_BACKOFF_S
+        has_peer_updates = self._clock() - self._confirmed_at < PEER_SILENCE_S
+        limit_s = (
+            MAX_BACKOFF_WITH_PEERS_S if has_peer_updates else MAX_BACKOFF_S
+        )
         self._backoff_s = min(self._backoff_s * 2, limit_s)
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/metrics.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/metrics.py
@@ -11,21 +11,11 @@
 
 from mimosamux_daemon.domain.routes import Route
 
-DURATION_BUCKETS_S = [
-    0.02,
-    0.05,
-    0.1,
-    0.2,
-    0.35,
-    0.5,
-    1.0,
-    2.0,
-    4.0,
-    8.0,
-    15.0,
-]
+BUCKETS_S = [0.02, 0.05, 0.1, 0.2, 0.35, 0.5, 1.0, 2.0, 4.0, 8.0, 15.0]
+"""Upper bounds of the buckets of the histograms."""
 MAX_ROUTE_LABELS = 64
 OTHER_ROUTES_LABEL = 'other'
+"""Label value of all further routes."""
 
 
 class GatewayMetrics:
@@ -128,6 +118,4 @@
         return Gauge(name, doc, registry=self._registry)
 
     def _histogram(self, name: str, doc: str) -> Histogram:
-        return Histogram(
-            name, doc, buckets=DURATION_BUCKETS_S, registry=self._registry
-        )
+        return Histogram(name, doc, buckets=BUCKETS_S, registry=self._registry)
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/monitor.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/monitor.py
@@ -19,7 +19,7 @@
 from mimosamux_daemon.gateway.trial_tallies import TrialTallies, count_bad
 
 RELEASE_PATH = b'/v1/operator/release/'
-JSON_FIELDS = ((b'Content-Type', b'application/json'),)
+JSON_HEADERS = ((b'Content-Type', b'application/json'),)
 
 
 @dataclass(kw_only=True, slots=True)
@@ -55,7 +55,7 @@
             )
             await reply.answer(200, fields, content)
         elif path == b'/v1/operator/status':
-            await reply.answer(200, JSON_FIELDS, orjson.dumps(self.status()))
+            await reply.answer(200, JSON_HEADERS, orjson.dumps(self.status()))
         elif path.startswith(RELEASE_PATH):
             await self._release(incoming, reply)
         elif path == b'/healthz':
@@ -72,12 +72,12 @@
         content = ContentKey(name.decode('latin-1'))
         if self.quarantine.release(content):
             await reply.answer(
-                200, JSON_FIELDS, orjson.dumps({'content': content})
+                200, JSON_HEADERS, orjson.dumps({'content': content})
             )
             return
         message = f'no content {content!r} is suspected'
         problem = orjson.dumps({'error': {'message': message}})
-        await reply.answer(404, JSON_FIELDS, problem)
+        await reply.answer(404, JSON_HEADERS, problem)
 
     def status(self) -> dict[str, object]:
         """Return the status of the daemon as sections of rows."""
@@ -93,7 +93,7 @@
                 for record in self.roster.by_id.values()
                 if record.gone_at is None
             ],
-            'held_requests': self._held_rows(),
+            'held_requests': self._quarantine_rows(),
             'rollouts': self._rollout_rows(),
         }
 
@@ -111,12 +111,12 @@
         metrics.peers.set({'state': 'silent'}, silent)
         metrics.holds_lease.set({}, int(self.duties.held is not None))
         suspects = self.quarantine.suspects
-        held = len(list(suspects.quarantined()))
-        metrics.suspects.set({'state': 'held'}, held)
-        others = len(suspects.by_content) - held
+        quarantined = len(list(suspects.quarantined()))
+        metrics.suspects.set({'state': 'held'}, quarantined)
+        others = len(suspects.by_content) - quarantined
         metrics.suspects.set({'state': 'suspected'}, others)
-        for known in self.rollouts.by_service.values():
-            order = known.rollout.order
+        for view in self.rollouts.by_service.values():
+            order = view.rollout.order
             metrics.rollout_share.set(
                 {'service': order.service, 'version': order.version},
                 self.rollouts.share(order.service),
@@ -124,7 +124,7 @@
         counts: dict[tuple[str, str], int] = {}
         for record in self.roster.by_id.values():
             if record.gone_at is None:
-                key = (record.listed.service, self._state_of(record))
+                key = (record.listed.service, self._endpoint_state(record))
                 counts[key] = counts.get(key, 0) + 1
         for service in {key[0] for key in counts}:
             for state in ('serving', 'limited', 'avoided', 'leaving'):
@@ -157,7 +157,7 @@
             )
         return rows
 
-    def _held_rows(self) -> list[dict[str, object]]:
+    def _quarantine_rows(self) -> list[dict[str, object]]:
         """Return the quarantined contents."""
         suspects = self.quarantine.suspects
         return [
@@ -174,17 +174,17 @@
     def _rollout_rows(self) -> list[dict[str, object]]:
         """Return the last roll-out of each service, with its trial counts."""
         rows: list[dict[str, object]] = []
-        for service, known in self.rollouts.by_service.items():
+        for service, view in self.rollouts.by_service.items():
             total = self.trials.total(service)
             rows.append(
                 {
                     'service': service,
-                    'version': known.rollout.order.version,
-                    'stage': known.rollout.stage,
+                    'version': view.rollout.order.version,
+                    'stage': view.rollout.stage,
                     'share': round(self.rollouts.share(service), 3),
                     'tried': '' if total is None else total.trials,
                     'bad': '' if total is None else count_bad(total.by_kind),
-                    'reason': known.rollout.reason,
+                    'reason': view.rollout.reason,
                 }
             )
         return rows
@@ -198,14 +198,14 @@
             'service': record.listed.service,
             'data_centre': record.listed.data_centre,
             'market': record.listed.market,
-            'state': self._state_of(record),
+            'state': self._endpoint_state(record),
             'under_way': record.load.total(now).requests,
             'failed_share': '' if failed is None else round(failed, 2),
             'limit_per_s': '' if share is None else share.limit_per_s,
             'own_share_per_s': '' if share is None else round(share.per_s, 2),
         }
 
-    def _state_of(self, record: EndpointRecord) -> str:
+    def _endpoint_state(self, record: EndpointRecord) -> str:
         if record.is_leaving:
             return 'leaving'
         if record.is_unreachable(self.clock()):
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/operator_items.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/operator_items.py
@@ -39,21 +39,21 @@
         force stays in force.
         """
         for key, item in changes:
-            self._take(item, key)
+            self._apply_item(item, key)
 
     def confirm(self, at: float) -> None:
         """Note that all changes up to a moment have been applied."""
         self._configuration.confirm(self._configuration.current.version, at)
 
     @singledispatchmethod
-    def _take(self, item: object, key: str) -> None:
+    def _apply_item(self, item: object, key: str) -> None:
         """Ignore items of other types: unreadable or deleted ones."""
 
-    @_take.register
+    @_apply_item.register
     def _(self, item: ConfigurationDocument, key: str) -> None:
         if key == self._configuration_key:
-            self._configuration.take(item, source='platform')
+            self._configuration.update(item, source='platform')
 
-    @_take.register
+    @_apply_item.register
     def _(self, item: RolloutOrder, key: str) -> None:
         self._rollouts.apply_order(item)
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/parts.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/parts.py
@@ -275,7 +275,7 @@
             clock=self._clock,
             rng=self._rng,
         )
-        self.peers.handle(TableNews, self._receive_table_news)
+        self.peers.handle(TableNews, self._receive_table_update)
         self.evacuation = Evacuation(
             moves=self._platform.moves,
             stream_moves=StreamMoves(
@@ -300,7 +300,7 @@
             rng=self._rng,
         )
         self.roster.on_forgotten.append(self.chooser.parts.forget)
-        self.roster.on_restarted.append(self._forget_previous_process)
+        self.roster.on_restarted.append(self._forget_previous_incarnation)
 
     def _build_usage(self, shared_time: SharedTime) -> None:
         self.caps = UsageCaps(
@@ -466,13 +466,13 @@
             metrics=self.metrics,
         )
 
-    async def _receive_table_news(
-        self, sender: DaemonId, news: TableNews
+    async def _receive_table_update(
+        self, sender: DaemonId, update: TableNews
     ) -> None:
         for reader in (self.configuration_reader, self.endpoint_reader):
-            reader.receive_news(news)
+            reader.receive_update(update)
 
-    def _forget_previous_process(self, old: EndpointRecord) -> None:
+    def _forget_previous_incarnation(self, old: EndpointRecord) -> None:
         """Drop cache index, limits and connections of a restarted endpoint."""
         self.limits.forget(old.id)
         self.chooser.parts.forget(old.id)
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/vouching.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/vouching.py
@@ -124,7 +124,7 @@
             except InvalidConfiguration as error:
                 log.error('document_unreadable', peer=peer, problem=str(error))
                 return
-            self.configuration.take(document, source=peer)
+            self.configuration.update(document, source=peer)
         self.configuration.confirm(
             answer.version, asked_at - answer.age_ms / 1000
         )
