--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/monitor.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/monitor.py
@@ -16,7 +16,10 @@
 from mimosamux_daemon.gateway.peer_states import PeerStates
 from mimosamux_daemon.gateway.rollouts import Rollouts
 from mimosamux_daemon.gateway.roster import Roster
-from mimosamux_daemon.gateway.trial_tallies import TrialTallies, count_bad
+from mimosamux_daemon.gateway.trial_tallies import (
+    TrialTallies,
+    count_bad_answers,
+)
 
 RELEASE_PATH = b'/v1/operator/release/'
 JSON_HEADERS = ((b'Content-Type', b'application/json'),)
@@ -183,7 +186,9 @@
                     'stage': view.rollout.stage,
                     'share': round(self.rollouts.share(service), 3),
                     'tried': '' if total is None else total.trials,
-                    'bad': '' if total is None else count_bad(total.by_kind),
+                    'bad': ''
+                    if total is None
+                    else count_bad_answers(total.by_source),
                     'reason': view.rollout.reason,
                 }
             )
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/rollout_duty.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/rollout_duty.py
@@ -30,7 +30,7 @@
 from mimosamux_daemon.gateway.roster import Roster
 from mimosamux_daemon.gateway.trial_judge import Evidence, Judgement, Verdict
 from mimosamux_daemon.gateway.trial_share import TrialShare
-from mimosamux_daemon.gateway.trial_tallies import Counts, TrialTallies
+from mimosamux_daemon.gateway.trial_tallies import TrialCounts, TrialTallies
 from mimosamux_daemon.logs import get_log
 
 log = get_log('rollout_duty')
@@ -200,8 +200,8 @@
             self._judge_by_order[number] = self.make_judge()
         return self._judge_by_order[number].judge(
             Evidence(
-                by_kind={} if total is None else total.by_kind,
-                passed=(now - rollout.began_at) / rollout.order.within_s,
+                by_source={} if total is None else total.by_source,
+                elapsed=(now - rollout.began_at) / rollout.order.within_s,
                 is_urgent=not self._endpoints_of_others(rollout),
             )
         )
@@ -245,7 +245,7 @@
             if counts is not None
         )
 
-    def _peer_counts(self, rollout: Rollout) -> Iterator[Counts | None]:
+    def _peer_counts(self, rollout: Rollout) -> Iterator[TrialCounts | None]:
         service = rollout.order.service
         for peer in self.states.fresh():
             yield self.tallies.peer_counts(peer.place.id, service)
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/trial_judge.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/trial_judge.py
@@ -1,16 +1,17 @@
-"""Whether a new version is as good as the ones beside it.
+"""Decides by sequential tests whether a new version is as good as the others.
 
-Answers of the new version are compared with those that the others gave in
-the same seconds, as in canary analysis. One hypothesis is that they are bad
-as often, the other that a further part of them is. Two tests weigh the two:
+As in canary analysis, answers of the new version are compared with those that
+the other versions, the control, gave at the same time. The null hypothesis is
+that the new version gives bad answers as often as the control. The alternative
+is that a fixed further part of its answers is bad. Two tests compare the two:
 
-- A cumulative-sum test (Page, 1954) finds a version that is bad from some
-  moment on: it forgets what spoke for the version before.
-- A sequential probability-ratio test (Wald, 1945) over the whole trial says
-  when enough answers were good.
+- A cumulative-sum test (CUSUM; Page, 1954) detects a version that turns bad
+  at some moment, because it discards earlier evidence for the version.
+- A sequential probability-ratio test (SPRT; Wald, 1945) over the whole trial
+  decides when enough answers were good.
 
-There is one test each for every route and for every way to be bad: a version
-that fails on a single route, or is slow without failing, is found as well.
+Both run for each route and for each measure of bad answers, so that a version
+that fails on a single route, or is slow without failing, is detected as well.
 """
 
 import math
@@ -23,49 +24,54 @@
 from mimosamux_daemon.gateway.trial_tallies import (
     CONTROL,
     SLOW_FACTORS,
-    TalliesByKind,
+    TalliesBySource,
     Tally,
 )
 
-FURTHER_SHARE = 0.2
-"""Part of the answers, beyond those that are bad anyway, from which on a
-version counts as bad."""
-LEAST_SHARE = 0.01
-"""Bad answers that are taken as usual where the control has fewer."""
-MOST_SHARE = 0.9
+EXCESS_BAD_RATE = 0.2
+"""Part of the answers that would be good at the control and that a bad version
+spoils, under the alternative hypothesis."""
+MIN_BAD_RATE = 0.01
+"""Lower bound of the control's rate of bad answers in the tests."""
+MAX_BAD_RATE = 0.9
+"""Upper bound of the same rate."""
 BAD_EVIDENCE = 8.0
-"""Log likelihood ratio from which on a version is bad: e to the power of it
-is how much better a bad version explains the answers."""
-LEANING = 5.5
-"""What has to be left of it without any one endpoint."""
+"""Cumulative log-likelihood ratio from which on a version is judged bad. Its
+exponential is how many times better the alternative explains the answers."""
+LEFT_OUT_EVIDENCE = 5.5
+"""Ratio that must remain when any single endpoint is left out."""
 GOOD_EVIDENCE = -4.0
-"""The same ratio, below which a version is good."""
+"""Log-likelihood ratio over the trial up to which a version may be judged
+good."""
 ROUTE_EVIDENCE = -1.3
-"""What each route has to tell by itself: six good answers."""
-DOUBT = 2.0
-"""Cumulative sum from which on a version is not called good."""
-LAST_DOUBT = 4.5
-"""The same when time is up: a single bad answer is forgiven then."""
-RARE_ROUTE = 0.03
-"""Part of the control's answers below which a route need not tell."""
-FEWEST_ANSWERS = 8
-"""Answers without which nothing is decided, even when time is short."""
-FEWEST_OTHERS = 6
-"""Answers of other endpoints without which one cannot be left out."""
-LEAST_PART = 0.65
-"""Part of the roll-out's time before which no version is found good: some
-fail only some seconds in."""
-LAST_PART = 0.78
-"""Part of it after which the evidence that there is decides; the rest is for
-moving what runs and writing the end down."""
-RECENT_LOOKS = 3
-"""Looks at the control that make its recent answers."""
+"""The same bound for each single route; it takes six good answers."""
+DOUBT_EVIDENCE = 2.0
+"""Cumulative sum from which on a version is not judged good."""
+FINAL_DOUBT_EVIDENCE = 4.5
+"""The same bound when time is up; it tolerates a single bad answer."""
+RARE_ROUTE_SHARE = 0.03
+"""Part of the control's answers below which a route needs no evidence of its
+own."""
+MIN_ANSWERS = 8
+"""Smallest number of answers for a verdict when time is up."""
+MIN_OTHER_ANSWERS = 6
+"""Smallest number of answers of the other endpoints that allows an endpoint to
+be left out."""
+MIN_ELAPSED = 0.65
+"""Part of the roll-out's time before which no version is judged good, because
+some versions fail only after some seconds."""
+FINAL_ELAPSED = 0.78
+"""Part of the roll-out's time after which the evidence so far decides. The
+rest is for moving running streams and storing the last step."""
+RECENT_EVALUATIONS = 3
+"""Number of latest evaluations whose control answers count as recent."""
 CONTROL_WEIGHT = 10
-"""Answers that the control's whole past counts for beside recent ones."""
+"""Weight of the control's overall rate, in answers, when it is combined with
+its recent answers."""
 
 
 class Verdict(Enum):
-    """What is to become of a new version."""
+    """Decision on a new version."""
 
     OPEN = auto()
     GOOD = auto()
@@ -74,7 +80,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Judgement:
-    """A verdict, and the figures that decided it."""
+    """A verdict and the figures behind it."""
 
     verdict: Verdict
     reason: str
@@ -82,161 +88,181 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Evidence:
-    """What is known of a version when it is judged."""
+    """Input of a judgement."""
 
-    by_kind: TalliesByKind
-    passed: float
-    """Part of the roll-out's time that is over."""
+    by_source: TalliesBySource
+    elapsed: float
+    """Part of the roll-out's time that has elapsed."""
     is_urgent: bool = False
-    """Whether no other version takes work any more."""
+    """Whether no endpoint of another version accepts requests."""
 
 
 Measure = Callable[[Tally], int]
-"""Counts the answers of a tally that are bad in one way."""
+"""Counts the answers of a tally that are bad in one respect."""
 
 
 def _count_failed(tally: Tally) -> int:
     return tally.failed
 
 
-def _count_slower(place: int) -> Measure:
-    return lambda tally: tally.failed + tally.slower[place]
+def _count_slower(index: int) -> Measure:
+    return lambda tally: tally.failed + tally.slower[index]
 
 
 MEASURES: Mapping[str, Measure] = {
     'failed': _count_failed,
     **{
-        f'slower_{factor:g}x': _count_slower(place)
-        for place, factor in enumerate(SLOW_FACTORS)
+        f'slower_{factor:g}x': _count_slower(index)
+        for index, factor in enumerate(SLOW_FACTORS)
     },
 }
+"""Measures by the name that verdicts mention."""
 TestKey = tuple[str | None, str, EndpointId | None]
-"""Route, None: all; measure; endpoint that is left out, None: none."""
+"""Route or None for all, measure, and endpoint left out or None."""
 
 
 class SequentialJudge:
-    """Judges one trial by the likelihood of what was seen."""
+    """Judges one trial by the likelihood of its answers."""
 
     def __init__(
-        self, *, least_part: float = LEAST_PART, last_part: float = LAST_PART
+        self,
+        *,
+        min_elapsed: float = MIN_ELAPSED,
+        final_elapsed: float = FINAL_ELAPSED,
     ) -> None:
-        self._least_part = least_part
-        self._last_part = last_part
-        self._before: TalliesByKind = {}
-        self._sums: dict[TestKey, float] = {}
-        self._recent: deque[Groups] = deque(maxlen=RECENT_LOOKS)
+        self._min_elapsed = min_elapsed
+        self._final_elapsed = final_elapsed
+        self._last_tallies: TalliesBySource = {}
+        self._cusums: dict[TestKey, float] = {}
+        self._recent: deque[Groups] = deque(maxlen=RECENT_EVALUATIONS)
 
     def judge(self, evidence: Evidence) -> Judgement:
-        """Return what the answers so far say of the new version."""
-        groups = group_tallies(evidence.by_kind)
-        self._add_up(evidence.by_kind, groups)
-        whole = groups.get(None, Group())
-        if whole.new.answers == 0:
+        """Return the judgement that the answers so far support."""
+        groups = group_tallies(evidence.by_source)
+        self._update_sums(evidence.by_source, groups)
+        overall = groups.get(None, Group())
+        if overall.new.answers == 0:
             return Judgement(verdict=Verdict.OPEN, reason='no answers')
-        found = self._find_bad(groups)
-        if found is not None:
-            return Judgement(verdict=Verdict.BAD, reason=found)
-        return self._find_good(evidence, groups, whole)
-
-    def _add_up(self, by_kind: TalliesByKind, groups: 'Groups') -> None:
-        """Go on with the cumulative sums by what is new since last time."""
-        news = group_tallies(
+        reason = self._find_bad(groups)
+        if reason is not None:
+            return Judgement(verdict=Verdict.BAD, reason=reason)
+        return self._find_good(evidence, groups, overall)
+
+    def _update_sums(
+        self, by_source: TalliesBySource, groups: 'Groups'
+    ) -> None:
+        """Add the answers since the last evaluation to the CUSUMs."""
+        new_groups = group_tallies(
             {
-                kind: tally.since(self._before.get(kind))
-                for kind, tally in by_kind.items()
+                source: tally.since(self._last_tallies.get(source))
+                for source, tally in by_source.items()
             }
         )
-        self._before = {kind: tally.copy() for kind, tally in by_kind.items()}
-        self._recent.append(news)
-        for route, group in news.items():
+        self._last_tallies = {
+            source: tally.copy() for source, tally in by_source.items()
+        }
+        self._recent.append(new_groups)
+        for route, group in new_groups.items():
             endpoints = groups[route].by_endpoint
             for name, measure in MEASURES.items():
-                usual = self._find_usual(route, groups[route], measure)
+                bad_rate = self._recent_bad_rate(route, groups[route], measure)
                 for left_out in (None, *endpoints):
                     key = (route, name, left_out)
-                    ratio = group.ratio(measure, usual, leaving_out=left_out)
-                    self._sums[key] = max(
-                        0.0, self._sums.get(key, 0.0) + ratio
+                    ratio = group.ratio(
+                        measure, bad_rate, leaving_out=left_out
+                    )
+                    self._cusums[key] = max(
+                        0.0, self._cusums.get(key, 0.0) + ratio
                     )
 
-    def _find_usual(
+    def _recent_bad_rate(
         self, route: str | None, group: 'Group', measure: Measure
     ) -> float:
-        """Return how much of the control's answers is bad lately."""
+        """Return the control's recent rate of bad answers."""
         recent = Tally()
         for groups in self._recent:
             if route in groups:
                 recent.add(groups[route].control)
-        past = find_usual(group.control, measure)
-        return (measure(recent) + CONTROL_WEIGHT * past) / (
+        overall_rate = overall_bad_rate(group.control, measure)
+        return (measure(recent) + CONTROL_WEIGHT * overall_rate) / (
             recent.answers + CONTROL_WEIGHT
         )
 
     def _find_bad(self, groups: 'Groups') -> str | None:
         for route, group in groups.items():
             for name, measure in MEASURES.items():
-                total = self._sums[route, name, None]
-                if total < BAD_EVIDENCE:
+                cusum = self._cusums[route, name, None]
+                if cusum < BAD_EVIDENCE:
                     continue
-                if self._least_without(route, name, group) >= LEANING:
-                    return describe(route, name, group, measure, total)
+                if (
+                    self._least_sum_leaving_out(route, name, group)
+                    >= LEFT_OUT_EVIDENCE
+                ):
+                    return describe(route, name, group, measure, cusum)
         return None
 
-    def _least_without(
+    def _least_sum_leaving_out(
         self, route: str | None, name: str, group: 'Group'
     ) -> float:
-        """Return the evidence that is left without any one endpoint.
+        """Return the lowest CUSUM with any single endpoint left out.
 
-        One that crashes or is ill by itself gives many bad answers at once,
+        An endpoint that crashes or is faulty gives many bad answers at once,
         whatever its version.
         """
         if len(group.by_endpoint) < 2:
-            return self._sums[route, name, None]
-        most = max(tally.answers for tally in group.by_endpoint.values())
-        if group.new.answers - most < FEWEST_OTHERS:
+            return self._cusums[route, name, None]
+        largest = max(tally.answers for tally in group.by_endpoint.values())
+        if group.new.answers - largest < MIN_OTHER_ANSWERS:
             return 0.0
         return min(
-            self._sums[route, name, endpoint] for endpoint in group.by_endpoint
+            self._cusums[route, name, endpoint]
+            for endpoint in group.by_endpoint
         )
 
     def _find_good(
-        self, evidence: Evidence, groups: 'Groups', whole: 'Group'
+        self, evidence: Evidence, groups: 'Groups', overall: 'Group'
     ) -> Judgement:
-        ratio = whole.worst_ratio()
+        ratio = overall.worst_ratio()
         reason = (
-            f'{whole.new.answers} answers, {whole.new.failed} failed, '
+            f'{overall.new.answers} answers, {overall.new.failed} failed, '
             f'ratio {ratio:.1f}'
         )
-        routes = [
+        frequent_routes = [
             group
             for route, group in groups.items()
-            if route is not None and not group.is_rare(whole)
+            if route is not None and not group.is_rare(overall)
         ]
-        is_clear = ratio <= GOOD_EVIDENCE and all(
-            group.worst_ratio() <= ROUTE_EVIDENCE for group in routes
+        is_good_enough = ratio <= GOOD_EVIDENCE and all(
+            group.worst_ratio() <= ROUTE_EVIDENCE for group in frequent_routes
         )
-        is_due = evidence.passed >= self._least_part or evidence.is_urgent
-        if is_clear and is_due and not self._is_doubtful(groups, DOUBT):
+        is_due = evidence.elapsed >= self._min_elapsed or evidence.is_urgent
+        if (
+            is_good_enough
+            and is_due
+            and not self._has_doubt(groups, DOUBT_EVIDENCE)
+        ):
             return Judgement(verdict=Verdict.GOOD, reason=reason)
-        is_last = evidence.passed >= self._last_part
-        if not is_last or whole.new.answers < FEWEST_ANSWERS:
+        is_last = evidence.elapsed >= self._final_elapsed
+        if not is_last or overall.new.answers < MIN_ANSWERS:
             return Judgement(verdict=Verdict.OPEN, reason=reason)
-        is_good = ratio < 0 and not self._is_doubtful(groups, LAST_DOUBT)
+        is_good = ratio < 0 and not self._has_doubt(
+            groups, FINAL_DOUBT_EVIDENCE
+        )
         return Judgement(
             verdict=Verdict.GOOD if is_good else Verdict.BAD,
             reason=f'{reason}, time is up',
         )
 
-    def _is_doubtful(self, groups: 'Groups', limit: float) -> bool:
+    def _has_doubt(self, groups: 'Groups', limit: float) -> bool:
         return any(
-            self._least_without(route, name, group) >= limit
+            self._least_sum_leaving_out(route, name, group) >= limit
             for route, group in groups.items()
             for name in MEASURES
         )
 
 
 class Group:
-    """Answers that are compared: of one route, or of all."""
+    """Answers of the new version and the control on one route, or on all."""
 
     def __init__(self) -> None:
         self.control = Tally()
@@ -244,7 +270,7 @@
         self.by_endpoint: dict[EndpointId, Tally] = {}
 
     def add(self, endpoint: EndpointId, tally: Tally) -> None:
-        """Add the answers of an endpoint, or of the control."""
+        """Add answers of one endpoint, or of the control."""
         if endpoint == CONTROL:
             self.control.add(tally)
             return
@@ -254,61 +280,69 @@
     def ratio(
         self,
         measure: Measure,
-        usual: float,
+        bad_rate: float,
         *,
         leaving_out: EndpointId | None = None,
     ) -> float:
-        """Return how much better a bad version explains the answers."""
+        """Return the log-likelihood ratio of a bad version to a good one.
+
+        `bad_rate` is the control's rate of bad answers.
+        """
         answers, bad = self.new.answers, measure(self.new)
         if leaving_out in self.by_endpoint:
             left_out = self.by_endpoint[leaving_out]
             answers -= left_out.answers
             bad -= measure(left_out)
-        usual = min(max(usual, LEAST_SHARE), MOST_SHARE)
-        worse = usual + FURTHER_SHARE * (1 - usual)
-        return bad * math.log(worse / usual) + (answers - bad) * math.log(
-            (1 - worse) / (1 - usual)
-        )
+        bad_rate = min(max(bad_rate, MIN_BAD_RATE), MAX_BAD_RATE)
+        alternative_rate = bad_rate + EXCESS_BAD_RATE * (1 - bad_rate)
+        return bad * math.log(alternative_rate / bad_rate) + (
+            answers - bad
+        ) * math.log((1 - alternative_rate) / (1 - bad_rate))
 
     def worst_ratio(self) -> float:
-        """Return the highest ratio of all the ways to be bad.
+        """Return the highest ratio over all measures.
 
-        One ill endpoint is left out, where others tell enough without it.
+        For each measure the worst endpoint is left out, if the others gave
+        enough answers.
         """
-        return max(self._ratio_of(each) for each in MEASURES.values())
+        return max(
+            self._measure_ratio(measure) for measure in MEASURES.values()
+        )
 
-    def is_rare(self, whole: 'Group') -> bool:
-        """Whether so few requests are of this route that it need not tell."""
-        return self.control.answers < RARE_ROUTE * whole.control.answers
+    def is_rare(self, overall: 'Group') -> bool:
+        """Whether a route gets too few requests to need its own evidence."""
+        return (
+            self.control.answers < RARE_ROUTE_SHARE * overall.control.answers
+        )
 
-    def _ratio_of(self, measure: Measure) -> float:
-        usual = find_usual(self.control, measure)
+    def _measure_ratio(self, measure: Measure) -> float:
+        bad_rate = overall_bad_rate(self.control, measure)
         return min(
-            self.ratio(measure, usual, leaving_out=endpoint)
-            for endpoint in (None, *self._may_leave_out())
+            self.ratio(measure, bad_rate, leaving_out=endpoint)
+            for endpoint in (None, *self._endpoints_to_leave_out())
         )
 
-    def _may_leave_out(self) -> Collection[EndpointId]:
+    def _endpoints_to_leave_out(self) -> Collection[EndpointId]:
         return [
             endpoint
             for endpoint, tally in self.by_endpoint.items()
-            if self.new.answers - tally.answers >= FEWEST_OTHERS
+            if self.new.answers - tally.answers >= MIN_OTHER_ANSWERS
         ]
 
 
 Groups = dict[str | None, Group]
-"""Groups by route, and one of all routes under None."""
+"""Groups by route; the key None holds all routes together."""
 
 
-def find_usual(control: Tally, measure: Measure) -> float:
-    """Return the part of the control's answers that is bad."""
+def overall_bad_rate(control: Tally, measure: Measure) -> float:
+    """Return the control's rate of bad answers."""
     return measure(control) / (control.answers + 1)
 
 
-def group_tallies(by_kind: TalliesByKind) -> Groups:
-    """Return what is compared of the tallies."""
+def group_tallies(by_source: TalliesBySource) -> Groups:
+    """Group tallies by route, and over all routes."""
     groups: Groups = {}
-    for (endpoint, route), tally in by_kind.items():
+    for (endpoint, route), tally in by_source.items():
         for key in (None, route):
             groups.setdefault(key, Group()).add(endpoint, tally)
     return groups
@@ -321,7 +355,7 @@
     measure: Measure,
     evidence: float,
 ) -> str:
-    """Return the figures that condemn a version."""
+    """Format the figures behind the verdict on a bad version."""
     return (
         f'{name} {measure(group.new)} of {group.new.answers}, control '
         f'{measure(group.control)} of {group.control.answers}, '
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/trial_tallies.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/trial_tallies.py
@@ -1,8 +1,8 @@
-"""How requests ended at a new version and, beside it, at the others.
+"""Counts how requests ended at a new version and at the other versions.
 
-Each daemon counts from the moment at which it learns of a roll-out and tells
-its counts; what was counted in the same seconds at the other versions is the
-control that the new one is compared with.
+Each daemon counts from the moment at which it learns of a roll-out, and sends
+its counts to the other daemons in its state digest. The answers of the other
+versions in the same period are the control for the new version.
 """
 
 import math
@@ -18,38 +18,39 @@
 from mimosamux_daemon.gateway.roster import Roster
 
 SLOW_FACTORS = (3.0, 5.0)
-"""An answer that took so many times as long as expected counts as slow."""
+"""Factors of the expected time; each has its own count of slower answers."""
 CONTROL = EndpointId('')
-"""Stands for all endpoints of the other versions."""
-LEAST_EXPECTED_S = 0.03
-"""Shortest expectation: below it, chance alone multiplies a time."""
-TYPICAL_WEIGHT = 0.1
-"""Weight of an answer in the running mean of how long such ones take."""
-MOST_WEIGHT = 4.0
-"""How much more often requests of a rare route are tried at most."""
-MOST_BAD = 25
-"""Bad answers of a version under trial at which each daemon stops by itself;
-others may be under way yet, and count as well."""
+"""Key that stands for all endpoints of the other versions."""
+MIN_EXPECTED_S = 0.03
+"""Lower bound of the expected time. Below it, random variation alone makes an
+answer several times slower."""
+SMOOTHING_FACTOR = 0.1
+"""Weight of a new answer in the moving average of the time to answer."""
+MAX_ROUTE_WEIGHT = 4.0
+"""Upper bound of the factor by which rare routes are sampled more often."""
+MAX_BAD_ANSWERS = 25
+"""Bad answers of a version under trial at which each daemon stops the trial on
+its own. Requests still in flight may add further bad answers."""
 
 
 @dataclass(kw_only=True, slots=True)
 class Tally:
-    """Answers of one kind since the roll-out began."""
+    """Counts of answers since the roll-out began."""
 
     answers: int = 0
     failed: int = 0
     slower: list[int] = field(default_factory=lambda: [0] * len(SLOW_FACTORS))
-    """Answers that were slower than expected, by each of the factors."""
+    """Answers slower than expected by each of `SLOW_FACTORS`."""
 
     def add(self, other: 'Tally') -> None:
-        """Add the answers of another one."""
+        """Add the counts of another tally."""
         self.answers += other.answers
         self.failed += other.failed
-        for place, count in enumerate(other.slower):
-            self.slower[place] += count
+        for index, count in enumerate(other.slower):
+            self.slower[index] += count
 
     def copy(self) -> 'Tally':
-        """Return one that stays as it is now."""
+        """Return an independent copy."""
         return Tally(
             answers=self.answers,
             failed=self.failed,
@@ -57,10 +58,10 @@
         )
 
     def since(self, before: 'Tally | None') -> 'Tally':
-        """Return what has come since an earlier moment.
+        """Return the increase since an earlier tally, at least zero.
 
-        Counts of a daemon that died are missing in a sum, which may be less
-        than it was: then nothing is known to have come.
+        A sum over daemons can decrease, because the counts of a daemon that
+        died are missing in it.
         """
         if before is None:
             return self.copy()
@@ -75,51 +76,52 @@
 
     @property
     def bad(self) -> int:
-        """Return the answers that failed or took several times as long."""
+        """Return the answers that failed or exceeded the largest factor."""
         return self.failed + self.slower[-1]
 
 
-TalliesByKind = dict[tuple[EndpointId, str], Tally]
-"""Tallies by endpoint of the new version, or `CONTROL`, and route."""
+TalliesBySource = dict[tuple[EndpointId, str], Tally]
+"""Tallies by endpoint of the new version (or `CONTROL`) and route."""
 
 
 @dataclass(kw_only=True, slots=True)
-class Counts:
-    """What one daemon has counted of one roll-out."""
+class TrialCounts:
+    """Counts of one roll-out, of one daemon or of all."""
 
     number: int
     step: int = 0
-    """Newest step that the daemon has put in force."""
+    """Newest step in force at the daemon."""
     requests: int = 0
+    """Requests sent to any version since the roll-out began."""
     trials: int = 0
+    """Requests sent to the new version."""
     open_elsewhere: int = 0
-    by_kind: TalliesByKind = field(default_factory=dict)
+    """Requests in flight at other versions."""
+    by_source: TalliesBySource = field(default_factory=dict)
 
 
 @dataclass(kw_only=True, slots=True)
 class TrialTallies:
-    """Counts of this daemon and, as they tell them, of its peers."""
+    """Keeps the counts of this daemon and the latest counts of its peers."""
 
     rollouts: Rollouts
     roster: Roster
-    _own: dict[ServiceName, Counts] = field(default_factory=dict)
-    _by_peer: dict[DaemonId, dict[ServiceName, Counts]] = field(
+    _own: dict[ServiceName, TrialCounts] = field(default_factory=dict)
+    _by_peer: dict[DaemonId, dict[ServiceName, TrialCounts]] = field(
         default_factory=dict
     )
-    _typical_s: dict[tuple[ServiceName, str], float] = field(
-        default_factory=dict
-    )
-    """Running mean of how long the control takes, by route."""
+    _mean_s: dict[tuple[ServiceName, str], float] = field(default_factory=dict)
+    """Moving average of the control's time to answer in seconds, by route."""
     _weight_by_route: dict[tuple[ServiceName, str], float] = field(
         default_factory=dict
     )
 
     def __post_init__(self) -> None:
-        self.rollouts.on_changed.append(self._begin)
+        self.rollouts.on_changed.append(self._start_counting)
 
     def note_send(self, service: ServiceName, software: str) -> None:
-        """Count a request that is sent to an endpoint."""
-        counts, rollout = self._find(service)
+        """Count a request sent to an endpoint with the given software."""
+        counts, rollout = self._find_own(service)
         if counts is None or rollout is None:
             return
         counts.requests += 1
@@ -136,57 +138,59 @@
         took_s: float | None = None,
         expected_s: float = 0.0,
     ) -> None:
-        """Count how a request ended, and how long its answer took to begin.
+        """Count how a request ended.
 
-        `expected_s` is what the choice of the endpoint rested on, 0: it had
-        no estimate, and the mean of the other versions is taken.
+        `took_s` is the time until the answer began. `expected_s` is the
+        estimate with which the endpoint was chosen; 0 means that there was
+        none, and the moving average of the other versions is used instead.
         """
-        counts, rollout = self._find(service)
+        counts, rollout = self._find_own(service)
         if counts is None or rollout is None:
             return
         is_new = software == rollout.order.version
-        kind = (endpoint if is_new else CONTROL, route)
-        tally = counts.by_kind.setdefault(kind, Tally())
+        source = (endpoint if is_new else CONTROL, route)
+        tally = counts.by_source.setdefault(source, Tally())
         tally.answers += 1
         tally.failed += failed
         if failed or took_s is None:
             return
         if not expected_s:
-            expected_s = self._typical_s.get((service, route), math.inf)
+            expected_s = self._mean_s.get((service, route), math.inf)
             if not is_new:
-                self._note_typical(service, route, took_s)
-        ratio = took_s / max(expected_s, LEAST_EXPECTED_S)
-        for place, factor in enumerate(SLOW_FACTORS):
-            tally.slower[place] += ratio >= factor
-
-    def total(self, service: ServiceName) -> Counts | None:
-        """Return the sum over all daemons, None: no roll-out goes on."""
-        own, rollout = self._find(service)
+                self._update_mean(service, route, took_s)
+        ratio = took_s / max(expected_s, MIN_EXPECTED_S)
+        for index, factor in enumerate(SLOW_FACTORS):
+            tally.slower[index] += ratio >= factor
+
+    def total(self, service: ServiceName) -> TrialCounts | None:
+        """Return the sum over all daemons, None without a roll-out."""
+        own, rollout = self._find_own(service)
         if own is None or rollout is None:
             return None
-        total = Counts(number=own.number)
-        for counts in self._all(service, own.number):
+        total = TrialCounts(number=own.number)
+        for counts in self._all_counts(service, own.number):
             total.requests += counts.requests
             total.trials += counts.trials
-            for kind, tally in counts.by_kind.items():
-                total.by_kind.setdefault(kind, Tally()).add(tally)
+            for source, tally in counts.by_source.items():
+                total.by_source.setdefault(source, Tally()).add(tally)
         return total
 
     def peer_counts(
         self, peer: DaemonId, service: ServiceName
-    ) -> Counts | None:
-        """Return what a peer told last of a service's roll-out."""
+    ) -> TrialCounts | None:
+        """Return the latest counts received from a peer."""
         return self._by_peer.get(peer, {}).get(service)
 
     def weight(self, service: ServiceName, route: str) -> float:
-        """Return how much more often than others a route is to be tried.
+        """Return the factor by which a route's share of trials is multiplied.
 
-        So that each gives as many answers; over all of them it is 1 at most.
+        It evens out the number of answers per route; the mean over all
+        requests is at most 1.
         """
         return self._weight_by_route.get((service, route), 1.0)
 
     def open_elsewhere(self, service: ServiceName) -> int:
-        """Return what is under way from here at other versions."""
+        """Count this daemon's requests in flight at other versions."""
         rollout = self.rollouts.current(service)
         if rollout is None:
             return 0
@@ -198,13 +202,17 @@
         )
 
     def write(self, digest: StateDigest) -> None:
-        """Tell what was counted here."""
+        """Add the counts of this daemon to a digest.
+
+        Also updates the weights of routes, and stops trials with too many bad
+        answers.
+        """
         self._weight_by_route.clear()
         for service in self._own:
             total = self.total(service)
             if total is not None:
                 self._stop_if_bad(service, total)
-                self._note_weights(service, total)
+                self._update_weights(service, total)
         for service, counts in self._own.items():
             rollout = self.rollouts.current(service)
             if rollout is None:
@@ -218,91 +226,96 @@
                     trials=counts.trials,
                     open_elsewhere=self.open_elsewhere(service),
                     tallies=[
-                        _write_tally(*kind, tally)
-                        for kind, tally in counts.by_kind.items()
+                        _as_message(*source, tally)
+                        for source, tally in counts.by_source.items()
                     ],
                 )
             )
 
     def take(self, peer: PeerState, digest: StateDigest) -> None:
-        """Take what a peer tells; it replaces what it told before."""
+        """Replace the counts of a peer by those in its digest."""
         if not digest.rollouts:
             self._by_peer.pop(peer.place.id, None)
             return
         self._by_peer[peer.place.id] = {
-            ServiceName(use.service): _read_use(use) for use in digest.rollouts
+            ServiceName(use.service): _parse_counts(use)
+            for use in digest.rollouts
         }
 
     def forget_peer(self, peer: DaemonId) -> None:
-        """Drop what a peer told that is given up."""
+        """Drop the counts of a peer that was removed."""
         self._by_peer.pop(peer, None)
 
-    def _stop_if_bad(self, service: ServiceName, total: Counts) -> None:
-        """Stop a trial whose version has given too many bad answers."""
+    def _stop_if_bad(self, service: ServiceName, total: TrialCounts) -> None:
+        """Stop a trial that has reached `MAX_BAD_ANSWERS` bad answers."""
         rollout = self.rollouts.current(service)
         if rollout is None or rollout.stage is not RolloutStage.TRIAL:
             return
-        bad = count_bad(total.by_kind)
-        if bad >= MOST_BAD:
+        bad = count_bad_answers(total.by_source)
+        if bad >= MAX_BAD_ANSWERS:
             self.rollouts.stop_trial(service, f'{bad} bad answers')
 
-    def _note_weights(self, service: ServiceName, total: Counts) -> None:
-        for route, weight in find_weights(total.by_kind).items():
+    def _update_weights(
+        self, service: ServiceName, total: TrialCounts
+    ) -> None:
+        for route, weight in compute_route_weights(total.by_source).items():
             self._weight_by_route[service, route] = weight
 
-    def _begin(self, rollout: Rollout) -> None:
+    def _start_counting(self, rollout: Rollout) -> None:
         service = rollout.order.service
         known = self._own.get(service)
         if known is None or known.number != rollout.order.number:
-            self._own[service] = Counts(number=rollout.order.number)
+            self._own[service] = TrialCounts(number=rollout.order.number)
 
-    def _find(
+    def _find_own(
         self, service: ServiceName
-    ) -> tuple[Counts | None, Rollout | None]:
+    ) -> tuple[TrialCounts | None, Rollout | None]:
         if not self._own:
             return None, None
         return self._own.get(service), self.rollouts.current(service)
 
-    def _all(self, service: ServiceName, number: int) -> Iterable[Counts]:
+    def _all_counts(
+        self, service: ServiceName, number: int
+    ) -> Iterable[TrialCounts]:
         yield self._own[service]
-        for told in self._by_peer.values():
-            counts = told.get(service)
+        for received in self._by_peer.values():
+            counts = received.get(service)
             if counts is not None and counts.number == number:
                 yield counts
 
-    def _note_typical(
+    def _update_mean(
         self, service: ServiceName, route: str, took_s: float
     ) -> None:
-        known = self._typical_s.get((service, route), took_s)
-        self._typical_s[service, route] = known + TYPICAL_WEIGHT * (
+        known = self._mean_s.get((service, route), took_s)
+        self._mean_s[service, route] = known + SMOOTHING_FACTOR * (
             took_s - known
         )
 
 
-def find_weights(by_kind: TalliesByKind) -> dict[str, float]:
-    """Return how much more often than others each route is to be tried."""
+def compute_route_weights(by_source: TalliesBySource) -> dict[str, float]:
+    """Return the sampling weight of each route, from the control's answers."""
     answers = {
         route: tally.answers
-        for (endpoint, route), tally in by_kind.items()
+        for (endpoint, route), tally in by_source.items()
         if endpoint == CONTROL and tally.answers
     }
-    even = sum(answers.values()) / max(len(answers), 1)
+    mean_answers = sum(answers.values()) / max(len(answers), 1)
     return {
-        route: min(even / count, MOST_WEIGHT)
+        route: min(mean_answers / count, MAX_ROUTE_WEIGHT)
         for route, count in answers.items()
     }
 
 
-def count_bad(by_kind: TalliesByKind) -> int:
-    """Return the bad answers of the new version."""
+def count_bad_answers(by_source: TalliesBySource) -> int:
+    """Count the bad answers of the new version."""
     return sum(
         tally.bad
-        for (endpoint, _), tally in by_kind.items()
+        for (endpoint, _), tally in by_source.items()
         if endpoint != CONTROL
     )
 
 
-def _write_tally(endpoint: EndpointId, route: str, tally: Tally) -> TrialTally:
+def _as_message(endpoint: EndpointId, route: str, tally: Tally) -> TrialTally:
     return TrialTally(
         endpoint=endpoint,
         route=route,
@@ -312,19 +325,21 @@
     )
 
 
-def _read_use(use: RolloutUse) -> Counts:
-    counts = Counts(
+def _parse_counts(use: RolloutUse) -> TrialCounts:
+    counts = TrialCounts(
         number=use.number,
         step=use.step,
         requests=use.requests,
         trials=use.trials,
         open_elsewhere=use.open_elsewhere,
     )
-    for told in use.tallies:
-        slower = [*told.slower, *([0] * len(SLOW_FACTORS))]
-        counts.by_kind[EndpointId(told.endpoint), told.route] = Tally(
-            answers=told.answers,
-            failed=told.failed,
-            slower=slower[: len(SLOW_FACTORS)],
+    for received in use.tallies:
+        slower = [*received.slower, *([0] * len(SLOW_FACTORS))]
+        counts.by_source[EndpointId(received.endpoint), received.route] = (
+            Tally(
+                answers=received.answers,
+                failed=received.failed,
+                slower=slower[: len(SLOW_FACTORS)],
+            )
         )
     return counts
--- a/tests/support/trial_model.py
+++ b/tests/support/trial_model.py
@@ -16,11 +16,11 @@
 from mimosamux_daemon.gateway.trial_share import TrialShare
 from mimosamux_daemon.gateway.trial_tallies import (
     CONTROL,
-    MOST_BAD,
+    MAX_BAD_ANSWERS,
     SLOW_FACTORS,
     Tally,
-    count_bad,
-    find_weights,
+    compute_route_weights,
+    count_bad_answers,
 )
 
 STEP_S = 0.25
@@ -107,7 +107,7 @@
         self.site = site
         self.within_s = within_s
         self.rng = rng
-        self.by_kind = {}
+        self.by_source = {}
         self.told = deque()
         """Counts of the last moments: when, requests, trials, tallies."""
         self.share = SAFE_FRACTION * LIMITS.share
@@ -178,7 +178,7 @@
                 self.bad_50_at = min(self.bad_50_at, now)
         if is_new:
             failed = failed or self._is_ill(now, endpoint)
-        tally = self.by_kind.setdefault((endpoint, route), Tally())
+        tally = self.by_source.setdefault((endpoint, route), Tally())
         tally.answers += 1
         tally.failed += failed
         is_cold = is_new and now < self.start_s + self.trouble.cold_s
@@ -213,7 +213,7 @@
         return True
 
     def _tell(self, now):
-        copied = {kind: tally.copy() for kind, tally in self.by_kind.items()}
+        copied = {kind: tally.copy() for kind, tally in self.by_source.items()}
         self.told.append(
             (now, self.played.requests, self.played.trials, copied)
         )
@@ -221,15 +221,15 @@
             self.told.popleft()
 
     def _decide(self, now):
-        _, requests, trials, by_kind = self.told[0]
-        if count_bad(by_kind) >= MOST_BAD:
+        _, requests, trials, by_source = self.told[0]
+        if count_bad_answers(by_source) >= MAX_BAD_ANSWERS:
             self.is_stopped = True
-        self.weights = find_weights(by_kind)
+        self.weights = compute_route_weights(by_source)
         self.share = TrialShare(limits=LIMITS).find(
             requests=requests, trials=trials, passed_s=max(now, STEP_S)
         )
         found = self.judge.judge(
-            Evidence(by_kind=by_kind, passed=now / self.within_s)
+            Evidence(by_source=by_source, elapsed=now / self.within_s)
         )
         if found.verdict is Verdict.OPEN:
             return
