--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/parts.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/parts.py
@@ -67,8 +67,8 @@
 from mimosamux_daemon.serving.fair_shares import FairShares
 
 CONFIGURATION_POLL_S = 1.3
-"""Longest long poll of the configuration. In normal operation the
-confirmation of a key gets at most twice as old."""
+"""Longest long poll of the configuration. In normal operation, the
+confirmation of a key is never older than twice this time."""
 ENDPOINTS_POLL_S = 1.0
 """Upper bound of the long poll of the list of endpoints."""
 ENDPOINTS_POLL_SHARE = 0.5
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/scaling.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/scaling.py
@@ -95,7 +95,8 @@
     _retry_at: dict[tuple[ServiceName, DataCentreName], float] = field(
         default_factory=dict
     )
-    """When to order again where no reclaimable endpoints are available.
+    """When to order again, by service and data centre, where no reclaimable
+    endpoints were available.
     An entry is removed only when an order is accepted: if the data centre
     counted as available earlier, the plan would give up on-demand endpoints
     that are still needed."""
@@ -220,9 +221,9 @@
     def _expects_requests(self, service: ServiceName) -> bool:
         """Whether to keep capacity for requests of a service.
 
-        True once a request was observed, and until reclaimable endpoints
-        are on order in every data centre: before that, the on-demand
-        endpoints may be all the capacity there will be.
+        True after the first request, and also until reclaimable endpoints
+        are on order in every data centre: until then, the on-demand
+        endpoints may be the only capacity.
         """
         if self.demand.observed_s(service) > 0:
             return True
