--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/admission.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/admission.py
@@ -1,4 +1,9 @@
-"""Which requests are let in, and which are turned away at once."""
+"""Admission control: the checks before a request becomes a job.
+
+A request needs a known route, a valid key, a service and room under the usage
+cap of its account. Otherwise it is refused with a reason and, if a retry can
+help, with a time after which to retry.
+"""
 
 import random
 from collections.abc import Callable
@@ -23,42 +28,46 @@
 from mimosamux_daemon.ports.callers import AnswerSink
 
 STARTING_RETRY_S = 0.5
+"""Retry-after time while this daemon has no configuration yet."""
 UNCONFIRMED_RETRY_S = 0.3
-"""Time after which another daemon, or this one, likely knows better."""
-UNCONFIRMED_WAIT_S = 0.5
-"""Longest wait for peers to confirm what they know of a cap's use. They do in
-0.5 s in calm; a caller waits about as long for its first word anyway."""
-MOST_LENDERS = 16
-"""Daemons that are asked to lend to one request: with a quarter to spare each
-they make up for its prompt, or the cap is nearly used up."""
+"""Retry-after time while the configuration is unconfirmed: another daemon, or
+this one, is likely to have a confirmed one by then."""
+ACK_WAIT_S = 0.5
+"""Longest wait for peers to acknowledge the use of a cap. Without faults they
+do so within 0.5 s; a caller waits about as long for its first token anyway."""
+MAX_LENDERS = 16
+"""Most daemons that are asked for a loan for one request. If each can spare a
+quarter of its allotment, that covers the prompt, unless the cap is nearly
+exhausted."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ConfirmationLimits:
     """How old the last confirmation of the configuration may be."""
 
-    keys_s: float
-    """Age up to which a key counts as still valid. Operators rely on it
-    that a key they took away is out everywhere within a bound; this is
-    below it by what a request can be under way."""
-    absence_s: float
-    """Age up to which an unknown route or key is said not to exist; past
-    it, it may have been added since."""
+    key_max_age_s: float
+    """Age up to which a key is accepted. Operators rely on a bound after which
+    a revoked key is rejected everywhere; this limit is below that bound by
+    the longest time that a request can be in flight."""
+    absence_max_age_s: float
+    """Age up to which an unknown route or key is reported as nonexistent; an
+    older configuration may lack one that was added since."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class _Unconfirmed:
-    """A cap has room that peers have not confirmed yet."""
+class _Unacked:
+    """A cap may have room, but peers have not acknowledged its use yet."""
 
     refused: Refused
-    """What the caller is told if it stays so."""
+    """Refusal to send if the acknowledgement does not arrive in time."""
     account: AccountId
     missing_parts: float
+    """Allotment that the request lacks, which other daemons may lend."""
 
 
 @dataclass(kw_only=True, slots=True)
 class Admission:
-    """Turns requests into jobs, under the configuration in force."""
+    """Admits requests as jobs under the current configuration."""
 
     configuration: ConfirmedConfiguration
     caps: UsageCaps
@@ -70,26 +79,27 @@
     async def admit(
         self, request: GatewayRequest, sink: AnswerSink
     ) -> Job | Refused:
-        """Return the job for a request, or why there is none.
+        """Return the job for a request, or its refusal.
 
-        Where peers have only to confirm that there is room under a cap, it
-        is waited for or borrowed. Told to come back at once, callers tried
-        again while nobody knew more: with 24 daemons 14 of 193 drafts were
-        refused for good, of accounts that used a fortieth of their caps.
+        If a cap has room that only lacks acknowledgement by peers, the
+        request waits for it, or borrows from the allotments of other daemons.
+        When such requests were refused at once, callers retried before any
+        peer had acknowledged more: with 24 daemons, 14 of 193 drafts were
+        refused for good, for accounts that used a fortieth of their caps.
         """
-        until = self.clock() + UNCONFIRMED_WAIT_S
+        deadline = self.clock() + ACK_WAIT_S
         lenders: set[DaemonId] = set()
         while True:
             confirmed = self.caps.confirmed
-            job = self._admit(request, sink)
-            if not isinstance(job, _Unconfirmed):
+            job = self._check(request, sink)
+            if not isinstance(job, _Unacked):
                 return job
-            left_s = until - self.clock()
+            left_s = deadline - self.clock()
             if left_s <= 0:
                 return job.refused
             if (
                 job.missing_parts
-                and len(lenders) < MOST_LENDERS
+                and len(lenders) < MAX_LENDERS
                 and await self.loans.borrow(
                     job.account, job.missing_parts, tried=lenders
                 )
@@ -98,9 +108,10 @@
             with anyio.move_on_after(left_s):
                 await confirmed.wait()
 
-    def _admit(
+    def _check(
         self, request: GatewayRequest, sink: AnswerSink
-    ) -> Job | Refused | _Unconfirmed:
+    ) -> Job | Refused | _Unacked:
+        """Check a request once, without waiting."""
         configuration = self.configuration.current
         if configuration.version == 0:
             return Refused(
@@ -110,13 +121,13 @@
             )
         route = configuration.find_route(request.host, request.head.path)
         if route is None:
-            return self._absent(Reason.NO_ROUTE, 'no route')
+            return self._refuse_unknown(Reason.NO_ROUTE, 'no route')
         account = self._find_account(configuration, route, request)
         if isinstance(account, Refused):
             return account
         service = self._pick_service(configuration, route)
         if service is None:
-            return self._absent(Reason.NO_ROUTE, 'no service')
+            return self._refuse_unknown(Reason.NO_ROUTE, 'no service')
         job = Job(
             request=request,
             route=route,
@@ -124,10 +135,10 @@
             account=account,
             sink=sink,
         )
-        return self._take_cap(job) or job
+        return self._charge_cap(job) or job
 
-    def release_cap(self, job: Job) -> None:
-        """Give back what a request took that has not run."""
+    def refund_cap(self, job: Job) -> None:
+        """Refund what a request that has not run was charged."""
         if job.account is not None and job.cost:
             self.caps.give_back(job.account, job.cost)
             job.cost = 0.0
@@ -138,11 +149,13 @@
         route: Route,
         request: GatewayRequest,
     ) -> AccountEntry | Refused | None:
+        """Return the account of a request's key, None if it needs no key."""
         if not configuration.needs_key or route.is_anonymous:
             return None
-        if self.configuration.age_s > self.limits.keys_s:
-            # Cut off from the platform and from all who can reach it, a
-            # daemon would let in whoever was locked out since.
+        if self.configuration.age_s > self.limits.key_max_age_s:
+            # A daemon that is partitioned from the platform, and from all
+            # peers that can reach it, would otherwise accept keys that have
+            # been revoked since.
             return Refused(
                 reason=Reason.UNCONFIRMED,
                 message='it is not known whether the key is still valid',
@@ -150,11 +163,12 @@
             )
         account = configuration.accounts_by_key.get(request.key or '')
         if account is None:
-            return self._absent(Reason.NOT_AUTHORISED, 'unknown key')
+            return self._refuse_unknown(Reason.NOT_AUTHORISED, 'unknown key')
         return account
 
-    def _absent(self, reason: Reason, message: str) -> Refused:
-        if self.configuration.age_s <= self.limits.absence_s:
+    def _refuse_unknown(self, reason: Reason, message: str) -> Refused:
+        """Return the refusal for an unknown route, service or key."""
+        if self.configuration.age_s <= self.limits.absence_max_age_s:
             return Refused(reason=reason, message=message)
         return Refused(
             reason=Reason.UNCONFIRMED,
@@ -165,6 +179,7 @@
     def _pick_service(
         self, configuration: GatewayConfiguration, route: Route
     ) -> ServiceEntry | None:
+        """Return a service of a route, drawn by the weights of its split."""
         if not route.splits:
             return None
         name: ServiceName = route.splits[0].service
@@ -174,11 +189,12 @@
                 name = self.rng.choices(route.splits, weights)[0].service
         return configuration.services_by_name.get(name)
 
-    def _take_cap(self, job: Job) -> Refused | _Unconfirmed | None:
+    def _charge_cap(self, job: Job) -> Refused | _Unacked | None:
+        """Charge a job to its account's cap, or return a refusal."""
         account = job.account
         if account is None or account.cap is None:
             return None
-        cost = find_cost(job.request, account.cap)
+        cost = compute_cost(job.request, account.cap)
         refusal = self.caps.acquire(account, cost)
         if refusal is None:
             job.cost = cost
@@ -197,15 +213,15 @@
         )
         if not refusal.is_unconfirmed:
             return refused
-        return _Unconfirmed(
+        return _Unacked(
             refused=refused,
             account=account.id,
             missing_parts=refusal.missing_parts,
         )
 
 
-def find_cost(request: GatewayRequest, cap: UsageCap) -> float:
-    """Return what a request counts against a cap."""
+def compute_cost(request: GatewayRequest, cap: UsageCap) -> float:
+    """Return what a request is charged under a cap, in the cap's unit."""
     if not cap.is_in_tokens:
         return 1.0
     prompt = request.prompt
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/attempts.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/attempts.py
@@ -202,7 +202,7 @@
             return
         chooser = self.recorder.chooser
         record = choice.record
-        chooser.parts.note_read(record.id, prompt, record.incarnation)
+        chooser.prefix_index.note_read(record.id, prompt, record.incarnation)
         if choice.queued_tokens < 1:
             speed = chooser.speed_of(self.job.service.name)
             speed.add_sample(choice.unread_tokens, took_s)
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/choice.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/choice.py
@@ -22,7 +22,7 @@
 from mimosamux_daemon.gateway.endpoint_record import EndpointRecord
 from mimosamux_daemon.gateway.engine_speed import EngineSpeed
 from mimosamux_daemon.gateway.health import MAX_EXCESS_FAILURE_RATE
-from mimosamux_daemon.gateway.prompt_parts import PromptParts
+from mimosamux_daemon.gateway.prefix_cache_index import PrefixCacheIndex
 from mimosamux_daemon.gateway.rollouts import Rollouts
 from mimosamux_daemon.gateway.roster import Roster
 
@@ -70,14 +70,14 @@
     def __init__(
         self,
         *,
-        parts: PromptParts,
+        prefix_index: PrefixCacheIndex,
         roster: Roster,
         rollouts: Rollouts,
         data_centre: DataCentreName,
         clock: Callable[[], float],
         rng: random.Random,
     ) -> None:
-        self.parts = parts
+        self.prefix_index = prefix_index
         self._roster = roster
         self._rollouts = rollouts
         self._data_centre = data_centre
@@ -179,12 +179,12 @@
             self._estimate(record, service, prompt, holder, now)
             for record in records
         ]
-        key = prompt.shared_key
+        prefix_key = prompt.shared_key
         choices.sort(
-            key=lambda choice: _rendezvous_hash(choice.record.id, key)
+            key=lambda choice: _rendezvous_hash(choice.record.id, prefix_key)
         )
-        least = min(choice.first_event_s for choice in choices)
-        limit = max(HOME_TARGET_SHARE * route.target_s, least)
+        min_estimate_s = min(choice.first_event_s for choice in choices)
+        limit = max(HOME_TARGET_SHARE * route.target_s, min_estimate_s)
         return next(
             choice for choice in choices if choice.first_event_s <= limit
         )
@@ -200,14 +200,14 @@
         in vain.
         """
         now = self._clock()
-        most, holder = MIN_FETCH_TOKENS - 1, None
+        max_cached, holder = MIN_FETCH_TOKENS - 1, None
         for record in self._roster.of_service(service.name):
             is_gone = record.leaves_at is not None and record.leaves_at < now
             if is_gone or record.is_unreachable(now):
                 continue
-            tokens = self.parts.cached_tokens(record.id, prompt)
-            if tokens > most:
-                most, holder = tokens, record
+            tokens = self.prefix_index.cached_tokens(record.id, prompt)
+            if tokens > max_cached:
+                max_cached, holder = tokens, record
         return holder
 
     def _estimate(
@@ -221,12 +221,12 @@
         """Estimate the prefill work and the delay at one endpoint."""
         speed = self.speed_of(service.name)
         load = record.load.total(now)
-        cached = self.parts.cached_tokens(record.id, prompt)
+        cached = self.prefix_index.cached_tokens(record.id, prompt)
         fetch_from = None
         if holder is not None and holder is not record:
-            held = self.parts.cached_tokens(holder.id, prompt)
-            if held - cached >= MIN_FETCH_TOKENS:
-                fetch_from, cached = holder, held
+            held_tokens = self.prefix_index.cached_tokens(holder.id, prompt)
+            if held_tokens - cached >= MIN_FETCH_TOKENS:
+                fetch_from, cached = holder, held_tokens
         unread_tokens = max(prompt.tokens_in - cached, 1.0)
         first_event_s = speed.constant_s + speed.prefill_s(
             load.unread_tokens + unread_tokens
@@ -252,9 +252,9 @@
 
         def cost(record: EndpointRecord) -> float:
             load = record.load.total(now)
-            is_far = record.listed.data_centre != self._data_centre
-            far = REMOTE_PENALTY_REQUESTS if is_far else 0.0
-            return (load.requests + far) / record.listed.slots
+            is_remote = record.listed.data_centre != self._data_centre
+            penalty = REMOTE_PENALTY_REQUESTS if is_remote else 0.0
+            return (load.requests + penalty) / record.listed.slots
 
         shuffled = self._rng.sample(list(records), len(records))
         return min(shuffled, key=cost)
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/daemon.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/daemon.py
@@ -13,11 +13,11 @@
 from mimosamux_daemon.control.members import MemberState
 from mimosamux_daemon.gateway.clock import steady_time
 from mimosamux_daemon.gateway.discovery import Discovery
+from mimosamux_daemon.gateway.graceful_stop import GracefulStop
 from mimosamux_daemon.gateway.monitor import Monitor
 from mimosamux_daemon.gateway.parts import GatewayParts
 from mimosamux_daemon.gateway.settings import GatewaySettings
 from mimosamux_daemon.gateway.shared_time import SharedTime
-from mimosamux_daemon.gateway.stop import GatewayStop
 from mimosamux_daemon.logs import get_log
 from mimosamux_daemon.ports.gateway_platform import GatewayPlatform
 from mimosamux_daemon.ports.network import Network
@@ -189,9 +189,9 @@
         self.parts.states.state = MemberState.LEAVING
         self.parts.duties.is_stopping = True
         self._duties_scope.cancel()
-        await GatewayStop(
+        await GracefulStop(
             server=self._server,
-            tell_peers=self.parts.states.tell,
+            notify_peers=self.parts.states.tell,
             stop_accepting=self._entry_scope.cancel,
             grace_s=self.settings.stop_grace_s,
         ).run()
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/endpoint_reports.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/endpoint_usage_exchange.py
@@ -10,7 +10,7 @@
 from mimosamux_daemon.gateway.roster import Roster
 
 
-class EndpointReports:
+class EndpointUsageExchange:
     """The part of the gossip digests that covers endpoints.
 
     Each digest lists, per endpoint, the sender's requests in flight and the
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/evacuation.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/evacuation.py
@@ -1,8 +1,9 @@
-"""Takes running streams off endpoints that are about to go.
+"""Migrates running streams off endpoints that are about to be removed.
 
-A stream that ends in time stays where it is. The others are copied to other
-endpoints, side by side, and stopped just before theirs is taken away; they
-go on from the copies, and the caller sees one stream with a short pause.
+A stream that ends in time stays where it is. The KV caches of the others are
+copied to other endpoints concurrently, and the streams are stopped just
+before their endpoint is removed. They continue from the copies; the caller
+sees one stream with a short pause.
 """
 
 from collections import Counter
@@ -23,62 +24,64 @@
 
 log = get_log('evacuation')
 
-LAST_S = 0.5
-"""What is kept of the time before an endpoint goes for stopping runs: two
-tries, and a notice that came late."""
-LOOK_S = 0.1
-"""Pause between two looks for streams that have begun at an endpoint that
-leaves: a request that was sent there before may begin its answer later."""
-LEAST_WAIT_S = 0.001
-"""What a stop may come late by."""
-SIDE_BY_SIDE = 8
-"""Copies from one endpoint at a time: one that hangs holds up no others,
-and each still gets a fair part of the link."""
+STOP_RESERVE_S = 0.5
+"""Time before the removal of an endpoint that is reserved for stopping runs:
+it allows for two attempts, and for a notice that arrived late."""
+CHECK_INTERVAL_S = 0.1
+"""Interval of the checks for new streams at a leaving endpoint: a request
+that was sent there earlier may begin its answer later."""
+MIN_WAIT_S = 0.001
+"""Shortest wait; a stop may be late by as much."""
+MAX_CONCURRENT_COPIES = 8
+"""Concurrent copies from one endpoint: enough that a copy that hangs does not
+block the others, and few enough for each to get a fair part of the link."""
 
 
 @dataclass(kw_only=True, slots=True)
 class Departure:
-    """An endpoint that leaves, and until when it is there."""
+    """A leaving endpoint and the time of its removal."""
 
     record: EndpointRecord
-    drained_at: float
-    """When it is gone if nobody tells otherwise."""
-    is_unanswered: bool = False
-    """Whether it was asked for its end and has not answered."""
+    drain_ends_at: float
+    """When it is removed if it does not report another time."""
+    is_query_unanswered: bool = False
+    """Whether the last query for its time of removal went unanswered."""
 
     @property
-    def end(self) -> float:
-        """Return when it is gone, as it is known now.
+    def removed_at(self) -> float:
+        """Return the time of removal by the latest information.
 
-        A drain may be cut short by a reclaim: kept from the first look, the
-        end would come before the first copy, and streams would break off
-        with no `stream_moved` before them.
+        A reclaim may cut a drain short. With the time that was known first,
+        the endpoint would be gone before the first copy, and streams would
+        break off with no `stream_moved` logged before.
         """
-        told = self.record.leaves_at
-        return self.drained_at if told is None else told
+        reported = self.record.leaves_at
+        return self.drain_ends_at if reported is None else reported
 
 
 @dataclass(kw_only=True, slots=True)
 class Evacuation:
-    """Knows the streams of this daemon, and moves them in time."""
+    """Tracks the streams of this daemon and migrates them in time."""
 
     moves: RunMoves
     stream_moves: StreamMoves
     drain_s: float
-    """Time that an endpoint serves on after it was listed as leaving."""
+    """Time that an endpoint still serves after it is listed as leaving."""
     clock: Callable[[], float]
-    tell: Callable[[EndpointRecord], None]
-    """Tells the peers when an endpoint leaves."""
+    notify_peers: Callable[[EndpointRecord], None]
+    """Announces the removal time of an endpoint to the peers."""
     _by_endpoint: dict[EndpointRecord, set[RunningStream]] = field(
         default_factory=dict
     )
-    """By record, not by id: streams of a process that is gone are not those
-    of the one that has started under its id."""
-    _waiting: list[EndpointRecord] = field(default_factory=list)
-    _arrived: anyio.Event = field(default_factory=anyio.Event)
+    """Streams by record rather than by endpoint id: a restarted endpoint keeps
+    its id, but does not have the streams of its previous incarnation."""
+    _pending: list[EndpointRecord] = field(default_factory=list)
+    """Leaving endpoints whose evacuation has not begun yet."""
+    _added: anyio.Event = field(default_factory=anyio.Event)
+    """Set when an endpoint is added to them."""
 
     @contextmanager
-    def running(self, stream: RunningStream) -> Iterator[None]:
+    def tracking(self, stream: RunningStream) -> Iterator[None]:
         """Count a stream as running at its endpoint."""
         streams = self._by_endpoint.setdefault(stream.record, set())
         streams.add(stream)
@@ -91,108 +94,118 @@
                 self._by_endpoint.pop(stream.record, None)
 
     async def claim_copy(self, stream: RunningStream) -> StreamCopy | None:
-        """Return the copy from which a stream that broke may go on.
+        """Return the copy from which a broken stream may continue.
 
-        Its run is stopped first if that has not been confirmed: two runs
-        of one request must not go on side by side.
+        The original run is stopped first unless its stop is confirmed: one
+        request must not have two runs at the same time.
         """
         stream.is_claimed = True
-        if stream.copy is None and not stream.changing.locked():
+        if stream.copy is None and not stream.move_lock.locked():
             return None
         await self.stream_moves.stop(stream)
         return stream.copy
 
     def note_leaving(self, record: EndpointRecord) -> None:
-        """Have the streams of an endpoint looked after."""
-        self._waiting.append(record)
-        self._arrived.set()
+        """Schedule the evacuation of an endpoint."""
+        self._pending.append(record)
+        self._added.set()
 
     async def run(self) -> None:
-        """Look after endpoints that leave, until cancelled."""
+        """Evacuate leaving endpoints until cancelled."""
         async with anyio.create_task_group() as tasks:
             while True:
-                await self._arrived.wait()
-                self._arrived = anyio.Event()
-                waiting, self._waiting = self._waiting, []
-                for record in waiting:
+                await self._added.wait()
+                self._added = anyio.Event()
+                pending, self._pending = self._pending, []
+                for record in pending:
                     tasks.start_soon(self._evacuate, record)
 
     async def _evacuate(self, record: EndpointRecord) -> None:
+        """Migrate the streams of an endpoint, once it has movable ones."""
         departure = Departure(
-            record=record, drained_at=self.clock() + self.drain_s
+            record=record, drain_ends_at=self.clock() + self.drain_s
         )
         while not self._movable(record):
-            if self.clock() >= departure.end:
+            if self.clock() >= departure.removed_at:
                 return
-            await anyio.sleep(LOOK_S)
+            await anyio.sleep(CHECK_INTERVAL_S)
         async with anyio.create_task_group() as tasks:
             if record.leaves_at is None:
-                tasks.start_soon(self._ask, departure)
-            await self._wait_to_copy(departure)
-            self._log_begin(departure)
+                tasks.start_soon(self._query_removal_time, departure)
+            await self._wait_for_copy_time(departure)
+            self._log_start(departure)
             await self._move_all(departure)
             tasks.cancel_scope.cancel()
 
-    async def _ask(self, departure: Departure) -> None:
-        """Ask an endpoint for its end until it answers."""
+    async def _query_removal_time(self, departure: Departure) -> None:
+        """Query an endpoint for its time of removal until it answers."""
         record = departure.record
-        while record.leaves_at is None and self.clock() < departure.end:
+        while record.leaves_at is None and self.clock() < departure.removed_at:
             outlook = await self.moves.look(record.listed)
-            departure.is_unanswered = isinstance(outlook, Unavailable)
+            departure.is_query_unanswered = isinstance(outlook, Unavailable)
             if isinstance(outlook, EndpointOutlook):
-                self._take_outlook(record, outlook)
+                self._apply_outlook(record, outlook)
                 return
             log.info(
                 'endpoint_end_unknown',
                 endpoint=record.id,
                 reason=outlook.reason,
             )
-            await anyio.sleep(LOOK_S)
+            await anyio.sleep(CHECK_INTERVAL_S)
 
-    def _take_outlook(
+    def _apply_outlook(
         self, record: EndpointRecord, outlook: EndpointOutlook
     ) -> None:
+        """Store and announce a reported time of removal.
+
+        A report of another incarnation is ignored.
+        """
         if outlook.leaves_in_s is None:
             return
         if 0 < record.incarnation != outlook.incarnation > 0:
             return
         record.leaves_at = self.clock() + outlook.leaves_in_s
-        self.tell(record)
+        self.notify_peers(record)
 
-    async def _wait_to_copy(self, departure: Departure) -> None:
-        """Wait until copies have to begin for a second try to fit in.
+    async def _wait_for_copy_time(self, departure: Departure) -> None:
+        """Wait until the latest start that leaves time for a second attempt.
 
-        They begin at once where the endpoint did not say when it goes: that
-        may be sooner than the shortest wait for another answer.
+        If a query for the time of removal went unanswered, copying begins at
+        once: the endpoint may be gone before another query could time out.
         """
-        while not departure.is_unanswered:
-            copies_s = self._copies_s(departure.record)
-            first_at = departure.end - LAST_S - COPY_TIMEOUT_S - copies_s
-            left_s = first_at - self.clock()
+        while not departure.is_query_unanswered:
+            copy_time_s = self._estimate_copies_s(departure.record)
+            latest_start_at = (
+                departure.removed_at
+                - STOP_RESERVE_S
+                - COPY_TIMEOUT_S
+                - copy_time_s
+            )
+            left_s = latest_start_at - self.clock()
             if left_s <= 0:
                 return
-            await anyio.sleep(_until_look(left_s))
+            await anyio.sleep(_check_delay_s(left_s))
 
     async def _move_all(self, departure: Departure) -> None:
-        """Move the streams of an endpoint, late ones too.
+        """Move the streams of an endpoint, including those that begin late.
 
-        It goes on past the end for as long as streams run there: what an
-        endpoint tells is an estimate, and a daemon that got no processor
-        time in the last moments would leave streams at an endpoint that is
-        still there (`stream_stays` with a negative `left_s`).
+        It continues past the time of removal while streams run there: that
+        time is an estimate, and a daemon that gets no processor time in the
+        last moments would leave streams at an endpoint that still exists
+        (`stream_stays` with a negative `left_s`).
         """
         record = departure.record
-        limiter = anyio.CapacityLimiter(SIDE_BY_SIDE)
-        seen: set[RunningStream] = set()
+        limiter = anyio.CapacityLimiter(MAX_CONCURRENT_COPIES)
+        started: set[RunningStream] = set()
         async with anyio.create_task_group() as tasks:
-            while self.clock() < departure.end or self._movable(record):
+            while self.clock() < departure.removed_at or self._movable(record):
                 for stream in self._movable(record):
-                    if stream not in seen:
-                        seen.add(stream)
+                    if stream not in started:
+                        started.add(stream)
                         tasks.start_soon(
                             self._move, stream, departure, limiter
                         )
-                await anyio.sleep(LOOK_S)
+                await anyio.sleep(CHECK_INTERVAL_S)
 
     async def _move(
         self,
@@ -200,13 +213,14 @@
         departure: Departure,
         limiter: anyio.CapacityLimiter,
     ) -> None:
-        tries: Counter[EndpointId] = Counter()
+        """Copy and stop one stream, or release its copy if it ends before."""
+        attempts: Counter[EndpointId] = Counter()
         while not stream.ended.is_set() and not stream.is_stopped:
-            await self._advance(stream, departure, tries, limiter)
+            await self._advance(stream, departure, attempts, limiter)
             await self._pause(stream, departure)
         await stream.ended.wait()
         if not stream.is_claimed or stream.copy is None:
-            self._log_stay(stream, tries, departure)
+            self._log_stays(stream, attempts, departure)
         if not stream.is_claimed:
             await self.stream_moves.release(stream)
 
@@ -214,91 +228,97 @@
         self,
         stream: RunningStream,
         departure: Departure,
-        tries: Counter[EndpointId],
+        attempts: Counter[EndpointId],
         limiter: anyio.CapacityLimiter,
     ) -> None:
-        """Copy a stream, anew if its copy is about to go; stop it at last.
+        """Copy a stream if it lacks a lasting copy; stop it when that is due.
 
-        The endpoint that holds the copy may leave as well. Stopped then, the
-        run found no room there and went on at the endpoint it was to leave
-        (`stream_moved outcome=RunKept`, and `request_sent` to its source).
+        The holder of the copy may be leaving as well. A run that is stopped
+        then finds no room at the holder and continues at the very endpoint
+        that it was to leave (`stream_moved outcome=RunKept`, followed by
+        `request_sent` to the source).
         """
         if not stream.has_lasting_copy:
-            await self._copy(stream, tries, limiter)
-        is_due = self.clock() >= departure.end - LAST_S
-        if is_due and not stream.ended.is_set():
+            await self._copy(stream, attempts, limiter)
+        is_stop_due = self.clock() >= departure.removed_at - STOP_RESERVE_S
+        if is_stop_due and not stream.ended.is_set():
             await self.stream_moves.stop(stream)
 
     async def _pause(
         self, stream: RunningStream, departure: Departure
     ) -> None:
-        """Wait for the next look, for less if the stream is to stop."""
-        left_s = departure.end - LAST_S - self.clock()
-        with anyio.move_on_after(_until_look(left_s)):
+        """Wait for the next check, or until the stop of the stream is due."""
+        left_s = departure.removed_at - STOP_RESERVE_S - self.clock()
+        with anyio.move_on_after(_check_delay_s(left_s)):
             await stream.ended.wait()
 
     async def _copy(
         self,
         stream: RunningStream,
-        tries: Counter[EndpointId],
+        attempts: Counter[EndpointId],
         limiter: anyio.CapacityLimiter,
     ) -> None:
+        """Copy a stream within the limit of concurrent copies."""
         async with limiter:
             if not stream.ended.is_set():
-                await self.stream_moves.copy(stream, tries)
+                await self.stream_moves.copy(stream, attempts)
 
-    def _log_begin(self, departure: Departure) -> None:
+    def _log_start(self, departure: Departure) -> None:
         log.info(
             'evacuation_began',
             endpoint=departure.record.id,
             streams=len(self._movable(departure.record)),
-            left_s=round(departure.end - self.clock(), 3),
+            left_s=round(departure.removed_at - self.clock(), 3),
             is_told=departure.record.leaves_at is not None,
-            is_unanswered=departure.is_unanswered,
+            is_unanswered=departure.is_query_unanswered,
         )
 
-    def _log_stay(
+    def _log_stays(
         self,
         stream: RunningStream,
-        tries: Counter[EndpointId],
+        attempts: Counter[EndpointId],
         departure: Departure,
     ) -> None:
-        """Tell of a stream that stays at its endpoint.
+        """Log that a stream was not moved off its endpoint.
 
-        With `has_ended` it had no need to go on elsewhere; without, it is
-        lost unless it may be run anew.
+        With `has_ended` there was no need to move it; without, it is lost
+        unless the request may be repeated.
         """
         log.info(
             'stream_stays',
             request=stream.request_id,
             endpoint=stream.record.id,
             has_ended=stream.ended.is_set(),
-            copy_calls=tries.total(),
-            left_s=round(departure.end - self.clock(), 3),
+            copy_calls=attempts.total(),
+            left_s=round(departure.removed_at - self.clock(), 3),
         )
 
     def _movable(self, record: EndpointRecord) -> list[RunningStream]:
-        """Return the streams there that can be moved, the largest first."""
+        """Return the movable streams of an endpoint, largest first."""
         streams = self._by_endpoint.get(record, ())
         movable = [stream for stream in streams if stream.can_move]
         return sorted(movable, key=lambda each: -each.tokens)
 
-    def _copies_s(self, record: EndpointRecord) -> float:
-        """Return the time that copying all streams there takes.
+    def _estimate_copies_s(self, record: EndpointRecord) -> float:
+        """Return the estimated time to copy all streams of an endpoint.
 
-        Other daemons copy theirs over the same link at the same time; what
-        they have there is taken to be like the streams from here.
+        Other daemons copy their streams over the same link at the same time;
+        these are assumed to be of the same size as the streams of this one.
         """
         own = self._by_endpoint.get(record, ())
-        own_s = sum(stream.copy_s() for stream in own)
-        everybody = record.load.total(self.clock()).requests
-        return own_s * max(1.0, everybody / max(len(own), 1))
+        own_s = sum(stream.copy_time_s() for stream in own)
+        all_requests = record.load.total(self.clock()).requests
+        return own_s * max(1.0, all_requests / max(len(own), 1))
 
 
-def _until_look(left_s: float) -> float:
-    """Return the wait until the next look, shorter just before a moment.
+def _check_delay_s(left_s: float) -> float:
+    """Return the wait until the next check, or until a due time if sooner.
 
-    Never next to nothing: a wait that is lost in rounding would come to the
-    moment no nearer, and be repeated for ever.
+    It is at least `MIN_WAIT_S`: a wait that is lost in floating-point rounding
+    would not advance the clock, and would be repeated forever.
     """
-    return min(max(left_s, LEAST_WAIT_S), LOOK_S) if left_s > 0 else LOOK_S
+    return (
+        min(max(left_s, MIN_WAIT_S), CHECK_INTERVAL_S)
+        if left_s > 0
+        else CHECK_INTERVAL_S
+    )
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/forwarding.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/forwarding.py
@@ -1,7 +1,7 @@
 """Forwards a request to endpoints, with retries, until it is answered.
 
 Each request passes admission, the check for contents that crashed endpoints,
-the choice of an endpoint and the overload check before it is sent. A failed
+the choice of an endpoint and load shedding before it is sent. A failed
 attempt is repeated at another endpoint only where the route allows it, or
 where the endpoint states that it has not run the request.
 """
@@ -37,9 +37,9 @@
 from mimosamux_daemon.gateway.evacuation import Evacuation
 from mimosamux_daemon.gateway.jobs import Job
 from mimosamux_daemon.gateway.list_age import ListAge
+from mimosamux_daemon.gateway.load_shedding import LoadShedding
 from mimosamux_daemon.gateway.loop_lag import LoopLag
 from mimosamux_daemon.gateway.outcome_log import OutcomeLog
-from mimosamux_daemon.gateway.overload import Overload
 from mimosamux_daemon.gateway.retry_budget import RetryBudget
 from mimosamux_daemon.gateway.roster import Roster
 from mimosamux_daemon.gateway.running_stream import RunningStream
@@ -81,7 +81,7 @@
     budget: RetryBudget
     recorder: AttemptRecorder
     demand: Demand
-    overload: Overload
+    load_shedding: LoadShedding
     evacuation: Evacuation
     quarantine: CrashQuarantine
     outcomes: OutcomeLog
@@ -106,27 +106,27 @@
             caller.cancel_when_gone(waiting)
             job = await self.admission.admit(request, sink)
         if waiting.cancelled_caught:
-            self.outcomes.note_left(request)
+            self.outcomes.log_caller_gone(request)
             return CallerGone()
         if isinstance(job, Refused):
-            self.outcomes.note_refusal(request, job)
+            self.outcomes.log_refusal(request, job)
             return job
         job.caller = caller
-        outcome = await self._run_unless_held(job, caller, lag_s)
+        outcome = await self._run_unless_quarantined(job, caller, lag_s)
         if isinstance(outcome, Delivered) and not job.is_resumed:
             self.quarantine.note_completion(job.content)
         if isinstance(outcome, Refused) or not job.may_have_run:
-            self.admission.release_cap(job)
-        self.outcomes.note_outcome(job, outcome)
+            self.admission.refund_cap(job)
+        self.outcomes.log_outcome(job, outcome)
         return outcome
 
-    async def _run_unless_held(
+    async def _run_unless_quarantined(
         self, job: Job, caller: Caller, lag_s: float
     ) -> GatewayOutcome:
         """Run a job unless its content is quarantined after crashes."""
-        held = self.quarantine.find_refusal(job.content)
-        if held is not None:
-            return held
+        refusal = self.quarantine.find_refusal(job.content)
+        if refusal is not None:
+            return refusal
         self._note_demand(job)
         return await self._run_until_deadline(job, caller, lag_s)
 
@@ -169,13 +169,13 @@
             choice = self._choose(job)
             if choice is None or failed_connects >= MAX_FAILED_CONNECTS:
                 return self._give_up_unplaced(job)
-            refused = self.overload.find_refusal(job, choice)
+            refused = self.load_shedding.find_refusal(job, choice)
             if refused is not None:
                 return refused
             outcome = await self._attempt(job, choice)
             if isinstance(outcome, NotSent):
                 failed_connects += 1
-                if not job.may_be_sent_anew:
+                if not job.may_reconnect:
                     return _failure_after_send(job, outcome.reason)
             elif not isinstance(outcome, ContinueElsewhere):
                 return outcome
@@ -213,7 +213,7 @@
                 job.service.name, job.route.name
             ),
             excluding=job.tried,
-            is_spread=job.has_broken
+            is_spread=job.has_broken_off
             or self.quarantine.is_suspected(job.content),
         )
 
@@ -306,15 +306,15 @@
             record=attempt.choice.record,
             tokens=0 if prompt is None else prompt.tokens,
         )
-        with self.evacuation.running(stream):
+        with self.evacuation.tracking(stream):
             ended = await relay_events(job, answer, attempt, failover_wait)
         if isinstance(ended, NoAnswer):
             return ContinueElsewhere()
         if not isinstance(ended, CallBroken):
             attempt.note_result(failed=False)
             return ended
-        is_held = self.quarantine.is_quarantined(job.content)
-        if job.last_event_id is not None and not is_held:
+        is_quarantined = self.quarantine.is_quarantined(job.content)
+        if job.last_event_id is not None and not is_quarantined:
             copy = await self.evacuation.claim_copy(stream)
             if copy is not None:
                 attempt.note_result(failed=False)
@@ -340,7 +340,7 @@
     def _handle_broken_call(
         self, job: Job, attempt: Attempt, broken: CallBroken
     ) -> GatewayOutcome | ContinueElsewhere:
-        job.has_broken = True
+        job.has_broken_off = True
         attempt.note_broken(broken.reason)
         if self._take_retry(job):
             return ContinueElsewhere()
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/stop.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/graceful_stop.py
@@ -1,4 +1,4 @@
-"""How a daemon that passes requests on stops without a cut."""
+"""Graceful shutdown of a gateway daemon, without cutting off requests."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
@@ -11,35 +11,37 @@
 log = get_log('stopping')
 
 ACCEPT_S = 2.5
-"""Time for which new connections are still served: callers who asked for
-addresses before the stop began come for about as long as answers live."""
-LAST_S = 0.6
-"""What is kept of the grace for the last bytes and the end of the
-process."""
-POLL_S = 0.05
+"""Time for which new connections are still accepted: callers that resolved
+the address before the shutdown keep connecting for about the TTL of the
+answer."""
+EXIT_RESERVE_S = 0.6
+"""Part of the grace period that is reserved for sending the last bytes and
+for the exit of the process."""
+POLL_INTERVAL_S = 0.05
+"""Interval of the checks whether connections are left."""
 
 
 @dataclass(kw_only=True, slots=True)
-class GatewayStop:
-    """Stops in order: tell the peers, serve on, finish."""
+class GracefulStop:
+    """Shuts down in order: notify the peers, keep serving, finish requests."""
 
     server: Http1Server
-    tell_peers: Callable[[], Awaitable[None]]
+    notify_peers: Callable[[], Awaitable[None]]
     stop_accepting: Callable[[], None]
     grace_s: float
 
     async def run(self) -> None:
-        """Return when nothing is under way, or the grace is over."""
+        """Return when no connection is left, or the grace period is over."""
         started_at = anyio.current_time()
         log.info('leaving', open=self.server.open_requests)
         self.server.drain()
-        await self.tell_peers()
+        await self.notify_peers()
         self.server.close_idle()
         await anyio.sleep(min(ACCEPT_S, self.grace_s / 3))
         self.stop_accepting()
         self.server.close_idle()
-        end = started_at + self.grace_s - LAST_S
-        while self.server.connections and anyio.current_time() < end:
+        deadline = started_at + self.grace_s - EXIT_RESERVE_S
+        while self.server.connections and anyio.current_time() < deadline:
             self.server.close_idle()
-            await anyio.sleep(POLL_S)
+            await anyio.sleep(POLL_INTERVAL_S)
         log.info('left', cut=self.server.open_requests)
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/jobs.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/jobs.py
@@ -1,4 +1,4 @@
-"""A request on its way: what was tried and what came of it."""
+"""The state of a request while it is forwarded, across its attempts."""
 
 import math
 from dataclasses import dataclass, field
@@ -20,13 +20,14 @@
 from mimosamux_daemon.ports.callers import AnswerSink, Caller
 from mimosamux_daemon.ports.endpoint_calls import ResumePoint
 
-FIRST_RANK, LAST_RANK = 0, 9
-"""Ranks that engines know; operators may have more."""
+MIN_PRIORITY, MAX_PRIORITY = 0, 9
+"""Priorities that engines support; operators may configure others, which are
+clamped to this range."""
 
 
 @dataclass(kw_only=True, slots=True)
 class Job:
-    """One caller's request while it is passed on."""
+    """An admitted request with the state of its attempts and its stream."""
 
     request: GatewayRequest
     route: Route
@@ -34,27 +35,31 @@
     account: AccountEntry | None
     sink: AnswerSink
     caller: Caller | None = None
-    """Who waits for the answer, once it is let in."""
+    """The waiting caller, set on admission."""
     cost: float = 0.0
-    """What was taken from the account's usage cap."""
+    """Amount charged to the account's usage cap."""
     sends: int = 0
-    """Endpoints that it was sent to."""
+    """Number of attempts that were sent."""
     may_have_run: bool = False
+    """Whether an endpoint may have run the request."""
     has_begun: bool = False
-    """Whether it was counted as begun."""
+    """Whether it was counted as begun for its account."""
     tried: set[EndpointId] = field(default_factory=set)
+    """Endpoints of earlier attempts, which are excluded from retries."""
     last_event_id: str | None = None
+    """Id of the last event that was forwarded to the caller."""
     weights_version: str | None = None
+    """Version of the model weights that generated the stream so far."""
     kv_source: str | None = None
-    """Copy of its memory from which it goes on, if it was moved."""
-    has_broken: bool = False
-    """Whether the answer of an endpoint broke off."""
+    """Handle of the KV cache copy to continue from, if it was moved."""
+    has_broken_off: bool = False
+    """Whether a call to an endpoint has broken off."""
     is_resumed: bool = False
-    """Whether its present run goes on behind what another one made."""
+    """Whether its current run continues the output of an earlier one."""
     move_target: EndpointId | None = None
-    """Endpoint that has the copy."""
+    """Endpoint that holds the copy."""
     content: ContentKey = field(init=False)
-    """The same for each attempt of a caller at the same thing."""
+    """Key of its content; repeated requests of an account share it."""
 
     def __post_init__(self) -> None:
         account = None if self.account is None else self.account.id
@@ -62,32 +67,32 @@
 
     @property
     def is_stream(self) -> bool:
-        """Whether its answer is a series of events."""
+        """Whether its answer is a stream of events."""
         return self.route.kind is RouteKind.STREAM
 
     @property
     def priority(self) -> int | None:
-        """Return the rank for the engine, None where it has none."""
+        """Return the priority for the engine, None for a plain service."""
         if self.service.engine is None:
             return None
         account = self.account
-        rank = self.route.priority
+        configured = self.route.priority
         if account is not None and account.priority is not None:
-            rank = account.priority
-        return min(max(rank, FIRST_RANK), LAST_RANK)
+            configured = account.priority
+        return min(max(configured, MIN_PRIORITY), MAX_PRIORITY)
 
     @property
-    def may_be_sent_anew(self) -> bool:
-        """Whether a send that did not come about may go elsewhere."""
+    def may_reconnect(self) -> bool:
+        """Whether it may go elsewhere after a failed connection."""
         is_moved = self.kv_source is not None
         return is_moved or not self.may_have_run or self.route.may_repeat
 
     def has_caller_left(self) -> bool:
-        """Whether nobody waits for the answer any more."""
+        """Whether the caller has disconnected."""
         return self.caller is not None and self.caller.has_left()
 
     def left_s(self, now: float) -> float:
-        """Return the time until the caller is to have its answer."""
+        """Return the time left until the request's deadline."""
         patience_s = self.request.patience_s
         limit_s = min(
             self.route.timeout_s,
@@ -96,7 +101,7 @@
         return self.request.received_at + limit_s - now
 
     def resume_point(self) -> ResumePoint | None:
-        """Return where its stream goes on, None at its beginning."""
+        """Return where its stream resumes, None from its beginning."""
         if self.last_event_id is None:
             return None
         return ResumePoint(
@@ -114,7 +119,7 @@
     def give_up(
         self, reason: Reason, message: str, *, retry_after_s: float
     ) -> Refused | Failed:
-        """Return the outcome that is true: it has not run, or it may."""
+        """Return a failure if the request may have run, else a refusal."""
         if self.may_have_run:
             return self.fail(reason, message)
         return Refused(
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/outcome_log.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/outcome_log.py
@@ -1,4 +1,4 @@
-"""One line for the end of each request."""
+"""Logs and counts how each request ends."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -28,8 +28,8 @@
     configuration: ConfirmedConfiguration
     clock: Callable[[], float]
 
-    def note_refusal(self, request: GatewayRequest, refused: Refused) -> None:
-        """Note a request that was turned away before it became a job."""
+    def log_refusal(self, request: GatewayRequest, refused: Refused) -> None:
+        """Record a request that was refused by admission."""
         self.metrics.requests.inc(
             {'route': '', 'outcome': 'refused', 'reason': refused.reason}
         )
@@ -40,11 +40,11 @@
             reason=refused.reason,
             message=refused.message,
             retry_after_s=refused.retry_after_s,
-            **self._known(),
+            **self._configuration_fields(),
         )
 
-    def note_left(self, request: GatewayRequest) -> None:
-        """Note a caller that left before its request became a job."""
+    def log_caller_gone(self, request: GatewayRequest) -> None:
+        """Record a caller that disconnected before admission."""
         self.metrics.requests.inc(
             {'route': '', 'outcome': 'caller_gone', 'reason': ''}
         )
@@ -53,11 +53,11 @@
             request=request.id,
             host=request.host,
             waited_s=round(self.clock() - request.received_at, 3),
-            **self._known(),
+            **self._configuration_fields(),
         )
 
-    def note_outcome(self, job: Job, outcome: GatewayOutcome) -> None:
-        """Note what became of a job."""
+    def log_outcome(self, job: Job, outcome: GatewayOutcome) -> None:
+        """Record the outcome of an admitted request."""
         took_s = self.clock() - job.request.received_at
         fields = describe_outcome(outcome)
         route = self.metrics.route_label(job.route)
@@ -78,11 +78,11 @@
             sends=job.sends,
             took_s=round(took_s, 3),
             **fields,
-            **self._known(),
+            **self._configuration_fields(),
         )
 
-    def _known(self) -> dict[str, object]:
-        """Return what the decision rested on, and how old that is."""
+    def _configuration_fields(self) -> dict[str, object]:
+        """Return the version of the configuration in use, and its age."""
         return {
             'version': self.configuration.current.version,
             'version_age_s': round(min(self.configuration.age_s, 1e6), 2),
@@ -91,7 +91,7 @@
 
 @singledispatch
 def describe_outcome(outcome: GatewayOutcome) -> dict[str, object]:
-    """Return the fields of a line for an outcome."""
+    """Return the log fields of an outcome."""
     raise NotImplementedError(type(outcome))
 
 
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/parts.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/parts.py
@@ -31,20 +31,22 @@
 from mimosamux_daemon.gateway.duties import Duties, lease_policy
 from mimosamux_daemon.gateway.endpoint_limits import EndpointLimits
 from mimosamux_daemon.gateway.endpoint_record import EndpointRecord
-from mimosamux_daemon.gateway.endpoint_reports import EndpointReports
+from mimosamux_daemon.gateway.endpoint_usage_exchange import (
+    EndpointUsageExchange,
+)
 from mimosamux_daemon.gateway.evacuation import Evacuation
 from mimosamux_daemon.gateway.feed_reader import FeedReader
 from mimosamux_daemon.gateway.forwarding import Forwarder
 from mimosamux_daemon.gateway.leaving_exchange import LeavingExchange
 from mimosamux_daemon.gateway.list_age import ListAge
+from mimosamux_daemon.gateway.load_shedding import WINDOW_S, LoadShedding
 from mimosamux_daemon.gateway.loop_lag import LoopLag
 from mimosamux_daemon.gateway.metering import Metering
 from mimosamux_daemon.gateway.metrics import GatewayMetrics
 from mimosamux_daemon.gateway.operator_items import OperatorItems
 from mimosamux_daemon.gateway.outcome_log import OutcomeLog
-from mimosamux_daemon.gateway.overload import WINDOW_S, Overload
 from mimosamux_daemon.gateway.peer_states import PeerStates
-from mimosamux_daemon.gateway.prompt_parts import PromptParts
+from mimosamux_daemon.gateway.prefix_cache_index import PrefixCacheIndex
 from mimosamux_daemon.gateway.retry_budget import RetryBudget
 from mimosamux_daemon.gateway.rollout_clearing import RolloutClearing
 from mimosamux_daemon.gateway.rollout_duty import RolloutDuty
@@ -122,13 +124,13 @@
         self.states.parts = [
             self.vouching,
             self.endpoint_reader.sharing,
-            self.endpoint_reports,
+            self.endpoint_usage,
             self.limits,
             self.caps,
             shared_time,
             self.begun,
             self.demand,
-            self.chooser.parts,
+            self.chooser.prefix_index,
             self.duties,
             self.trials,
         ]
@@ -250,10 +252,10 @@
         leaving = LeavingExchange(
             roster=self.roster, states=self.states, peers=self.peers
         )
-        self.endpoint_reports = EndpointReports(
+        self.endpoint_usage = EndpointUsageExchange(
             roster=self.roster, clock=self._clock
         )
-        self.states.on_forgotten.append(self.endpoint_reports.forget_peer)
+        self.states.on_forgotten.append(self.endpoint_usage.forget_peer)
         self.limits = EndpointLimits(
             roster=self.roster,
             states=self.states,
@@ -288,18 +290,18 @@
             ),
             drain_s=self.settings.drain_s,
             clock=self._clock,
-            tell=leaving.announce,
+            notify_peers=leaving.announce,
         )
         self.roster.on_leaving.append(self.evacuation.note_leaving)
         self.chooser = Chooser(
-            parts=PromptParts(is_current=self.roster.is_current),
+            prefix_index=PrefixCacheIndex(is_current=self.roster.is_current),
             roster=self.roster,
             rollouts=self.rollouts,
             data_centre=self.settings.place.data_centre,
             clock=self._clock,
             rng=self._rng,
         )
-        self.roster.on_forgotten.append(self.chooser.parts.forget)
+        self.roster.on_forgotten.append(self.chooser.prefix_index.forget)
         self.roster.on_restarted.append(self._forget_previous_incarnation)
 
     def _build_usage(self, shared_time: SharedTime) -> None:
@@ -373,8 +375,8 @@
             caps=self.caps,
             loans=self.cap_loans,
             limits=ConfirmationLimits(
-                keys_s=self.settings.revocation_s - REVOCATION_SLACK_S,
-                absence_s=ABSENCE_MAX_AGE_S,
+                key_max_age_s=self.settings.revocation_s - REVOCATION_SLACK_S,
+                absence_max_age_s=ABSENCE_MAX_AGE_S,
             ),
             clock=self._clock,
             rng=self._rng,
@@ -408,7 +410,7 @@
                 clock=self._clock,
             ),
             demand=self.demand,
-            overload=Overload(
+            load_shedding=LoadShedding(
                 shares=FairShares(window_s=WINDOW_S), clock=self._clock
             ),
             evacuation=self.evacuation,
@@ -475,5 +477,5 @@
     def _forget_previous_incarnation(self, old: EndpointRecord) -> None:
         """Drop cache index, limits and connections of a restarted endpoint."""
         self.limits.forget(old.id)
-        self.chooser.parts.forget(old.id)
+        self.chooser.prefix_index.forget(old.id)
         self._platform.forget_connections(old.listed.address)
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/stream_moves.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/stream_moves.py
@@ -1,10 +1,9 @@
-"""Takes one stream to another endpoint: copy first, stop afterwards.
+"""Moves one stream to another endpoint: copies it first, then stops it.
 
-A call to an engine that leaves can be lost like any other, and nobody can
-tell then whether the run has stopped. So the memory is copied while the run
-goes on, which may fail and be tried again without harm. Once a copy is
-known, the stream goes on from it whatever becomes of the call that stops
-the run, or of its engine.
+A call to a leaving engine can be lost, and then it is unknown whether the run
+has stopped. The KV cache is therefore copied while the run continues, which
+can fail and be retried without harm. Once a copy exists, the stream continues
+from it whatever happens to the call that stops the run, or to the engine.
 """
 
 import random
@@ -31,19 +30,19 @@
 log = get_log('stream_moves')
 
 COPY_TIMEOUT_S = 0.4
-"""Longest wait for an answer to a copy, on top of the copy's own time. One
-that is lost leaves room for a second within the shortest notice, 1 s."""
+"""Timeout of a copy call, on top of the estimated time of the copy. If the
+call is lost, a second one still fits into the shortest notice, 1 s."""
 STOP_TIMEOUT_S = 0.2
-"""The same for the call that stops a run: most of its memory is copied by
-then, and the caller waits meanwhile."""
-FAR_SHARE = 0.25
-"""Load, as a part of an endpoint's slots, that a target in the same data
-centre may have more: a copy that stays there takes half the time."""
+"""Timeout of the call that stops a run, and of a release. It is short as most
+of the KV cache is copied by then, and the caller waits meanwhile."""
+REMOTE_PENALTY_SHARE = 0.25
+"""Load, as a share of an endpoint's slots, that a remote data centre counts
+as: a copy within the same data centre takes half the time."""
 
 
 @dataclass(kw_only=True, slots=True)
 class StreamMoves:
-    """Copies streams, stops them, and frees copies that nobody needs."""
+    """Copies streams, stops them, and frees unneeded copies."""
 
     roster: Roster
     rollouts: Rollouts
@@ -53,29 +52,29 @@
     metrics: GatewayMetrics
 
     async def copy(
-        self, stream: RunningStream, tries: Counter[EndpointId]
+        self, stream: RunningStream, attempts: Counter[EndpointId]
     ) -> None:
-        """Have a stream's memory copied; `tries` counts calls by target."""
-        target = self._find_target(stream, tries)
+        """Copy a stream's KV cache; `attempts` counts the calls by target."""
+        target = self._find_target(stream, attempts)
         if target is None:
             return
-        tries[target.id] += 1
-        async with stream.changing:
+        attempts[target.id] += 1
+        async with stream.move_lock:
             outcome = await self.moves.copy(
                 stream.record.listed,
                 target.listed,
                 stream.request_id,
-                timeout_s=COPY_TIMEOUT_S + stream.copy_s(),
+                timeout_s=COPY_TIMEOUT_S + stream.copy_time_s(),
             )
-        self._note(stream, target, outcome)
+        self._record_outcome(stream, target, outcome)
         if isinstance(outcome, RunCopied):
             stream.copy = StreamCopy(
                 kv_source=outcome.kv_source, holder=target
             )
 
     async def stop(self, stream: RunningStream) -> None:
-        """Stop a stream that was copied, so that it goes on elsewhere."""
-        async with stream.changing:
+        """Stop the run of a copied stream, to continue it elsewhere."""
+        async with stream.move_lock:
             copy = stream.copy
             if copy is None or stream.is_stopped:
                 return
@@ -93,16 +92,16 @@
                 isinstance(outcome, RunKept)
                 and not copy.holder.accepts_requests
             ):
-                # The copy is lost with its holder; the source has the run
-                # for as long as it is there.
+                # The copy is lost with its holder; the source keeps the KV
+                # cache until it is removed.
                 stream.copy = StreamCopy(
                     kv_source=outcome.kv_source, holder=stream.record
                 )
             stream.is_stopped = isinstance(outcome, RunMoved | RunKept)
-        self._note(stream, copy.holder, outcome)
+        self._record_outcome(stream, copy.holder, outcome)
 
     async def release(self, stream: RunningStream) -> None:
-        """Free the copy of a stream that has ended where it was."""
+        """Free the copy of a stream that has ended at its endpoint."""
         if stream.copy is not None:
             await self.moves.release(
                 stream.record.listed,
@@ -111,17 +110,17 @@
             )
 
     def _find_target(
-        self, stream: RunningStream, tries: Counter[EndpointId]
+        self, stream: RunningStream, attempts: Counter[EndpointId]
     ) -> EndpointRecord | None:
-        """Return the least loaded endpoint, those with a free slot first.
+        """Return the least loaded endpoint, preferring those with a free slot.
 
-        One that names a limit comes behind those that do not: streams that
-        move together would exceed it.
+        Endpoints with a rate limit rank behind those without: streams that
+        move at the same time would exceed it.
 
-        One that was tried comes behind the others, but is tried again: a
-        call that was lost says nothing of its target, and where only one
-        endpoint is left, the stream would end with its own while there is
-        time for another call (`stream_moved` once, then nothing).
+        Targets of earlier attempts rank behind the others but are retried: a
+        lost call says nothing about its target. If only one endpoint is left,
+        the stream would otherwise be lost with its own endpoint while there
+        is time for another call (`stream_moved` once, then nothing).
         """
         now = self.clock()
         records = [
@@ -137,30 +136,31 @@
         )
         if not records:
             return None
-        here = stream.record.listed.data_centre
+        source_data_centre = stream.record.listed.data_centre
 
         def cost(
             record: EndpointRecord,
         ) -> tuple[bool, int, bool, float, float]:
-            is_far = record.listed.data_centre != here
-            share = record.load.total(now).requests / record.listed.slots
-            wait = share + FAR_SHARE * is_far
+            is_remote = record.listed.data_centre != source_data_centre
+            slot_share = record.load.total(now).requests / record.listed.slots
+            weighted_load = slot_share + REMOTE_PENALTY_SHARE * is_remote
             return (
                 record.share is not None,
-                tries[record.id],
-                share >= 1,
-                wait,
+                attempts[record.id],
+                slot_share >= 1,
+                weighted_load,
                 self.rng.random(),
             )
 
         return min(records, key=cost)
 
-    def _note(
+    def _record_outcome(
         self,
         stream: RunningStream,
         target: EndpointRecord,
         outcome: CopyOutcome | MoveOutcome,
     ) -> None:
+        """Count and log the outcome of a call."""
         result = type(outcome).__name__
         self.metrics.moves.inc({'result': result})
         log.info(
--- a/tests/test_gateway_restarts.py
+++ b/tests/test_gateway_restarts.py
@@ -15,7 +15,9 @@
     EndpointId,
     ServiceName,
 )
-from mimosamux_daemon.gateway.endpoint_reports import EndpointReports
+from mimosamux_daemon.gateway.endpoint_usage_exchange import (
+    EndpointUsageExchange,
+)
 from mimosamux_daemon.gateway.leaving_exchange import LeavingExchange
 from mimosamux_daemon.gateway.neighbours import RecentDigests
 from mimosamux_daemon.gateway.peer_states import (
@@ -23,7 +25,7 @@
     MemberState,
     PeerState,
 )
-from mimosamux_daemon.gateway.prompt_parts import PromptParts
+from mimosamux_daemon.gateway.prefix_cache_index import PrefixCacheIndex
 from mimosamux_daemon.gateway.roster import Roster
 from mimosamux_daemon.gateway.store_health import StoreHealth
 from mimosamux_daemon.ports.feeds import Unreadable
@@ -105,10 +107,10 @@
             time_of_day=lambda: BORN / 1000 + self.now,
             health=StoreHealth(clock=lambda: self.now),
         )
-        self.reports = EndpointReports(
+        self.reports = EndpointUsageExchange(
             roster=self.roster, clock=lambda: self.now
         )
-        self.parts = PromptParts(is_current=self.roster.is_current)
+        self.parts = PrefixCacheIndex(is_current=self.roster.is_current)
         self.roster.on_restarted.append(lambda old: self.parts.forget(old.id))
         self.peers = FakePeers()
         LeavingExchange(
