--- a/tests/test_gateway_endpoint_words.py
+++ b/tests/test_gateway_endpoint_words.py
@@ -6,8 +6,8 @@
 from mimosamux_daemon.domain.gateway import ListedEndpoint
 from mimosamux_daemon.gateway.endpoint_record import EndpointRecord
 from mimosamux_daemon.gateway.roster import (
-    LAST_PAUSE_S,
-    LONGEST_PASSED_OVER_S,
+    MAX_CONNECT_BACKOFF_S,
+    MAX_REJECTION_BACKOFF_S,
     Roster,
 )
 from mimosamux_standins.site import Fault
@@ -133,8 +133,8 @@
         for _ in range(3000):
             roster.note_connect(record, failed=True)
             roster.note_refusal(record, 0.0)
-        self.assertEqual(record.unreachable_until, LAST_PAUSE_S)
-        self.assertEqual(record.deprioritised_until, LONGEST_PASSED_OVER_S)
+        self.assertEqual(record.unreachable_until, MAX_CONNECT_BACKOFF_S)
+        self.assertEqual(record.deprioritised_until, MAX_REJECTION_BACKOFF_S)
 
     def test_wait_for_all_endpoints_is_told_to_the_caller(self):
         async def check():
--- a/tests/test_gateway_loop_lag.py
+++ b/tests/test_gateway_loop_lag.py
@@ -118,5 +118,5 @@
     def __init__(self, seconds):
         self.seconds = seconds
 
-    def waited_s(self):
+    def estimated_wait_s(self):
         return self.seconds
