--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/crash_detector.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/crash_detector.py
@@ -13,7 +13,7 @@
 from mimosamux_daemon.domain.gateway import EndpointState
 from mimosamux_daemon.domain.names import ContentKey
 from mimosamux_daemon.gateway.crash_exchange import CrashExchange
-from mimosamux_daemon.gateway.crash_suspects import EndpointProcess
+from mimosamux_daemon.gateway.crash_suspects import EndpointIncarnation
 from mimosamux_daemon.gateway.endpoint_record import EndpointRecord
 from mimosamux_daemon.gateway.metrics import GatewayMetrics
 from mimosamux_daemon.logs import get_log
@@ -24,7 +24,7 @@
 CHECK_INTERVAL_S = 0.1
 """Pause between two checks of an endpoint: a process that is ending may still
 accept a connection."""
-CHECKS_ALIVE = 2
+MIN_ALIVE_CHECKS = 2
 """Consecutive checks that must find a process before an endpoint counts as
 alive."""
 WITHDRAWAL_DELAY_S = 1.0
@@ -60,7 +60,7 @@
         if record.is_leaving:
             return
         if record.has_crashed:
-            self.exchange.report_crash(_as_process(record), (content,))
+            self.exchange.report_crash(_incarnation_of(record), (content,))
             return
         contents = self._contents_by_record.setdefault(record, set())
         contents.add(content)
@@ -95,7 +95,7 @@
     async def _withdraw(self, record: EndpointRecord) -> None:
         await anyio.sleep(WITHDRAWAL_DELAY_S)
         if record.gone_at is None:
-            self.exchange.withdraw(_as_process(record))
+            self.exchange.withdraw(_incarnation_of(record))
 
     async def _check(self, record: EndpointRecord) -> None:
         has_crashed = await self._detect_crash(record)
@@ -110,7 +110,7 @@
                 incarnation=record.incarnation,
                 contents=len(contents),
             )
-            self.exchange.report_crash(_as_process(record), contents)
+            self.exchange.report_crash(_incarnation_of(record), contents)
 
     async def _detect_crash(self, record: EndpointRecord) -> bool:
         deadline = self.clock() + DETECTION_TIMEOUT_S
@@ -124,12 +124,12 @@
             if presence is Presence.ENDED:
                 return True
             times_alive = times_alive + 1 if presence is Presence.THERE else 0
-            if times_alive >= CHECKS_ALIVE:
+            if times_alive >= MIN_ALIVE_CHECKS:
                 return False
             await anyio.sleep(CHECK_INTERVAL_S)
         log.info('endpoint_end_undecided', endpoint=record.id)
         return False
 
 
-def _as_process(record: EndpointRecord) -> EndpointProcess:
-    return EndpointProcess(id=record.id, incarnation=record.incarnation)
+def _incarnation_of(record: EndpointRecord) -> EndpointIncarnation:
+    return EndpointIncarnation(id=record.id, incarnation=record.incarnation)
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/crash_exchange.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/crash_exchange.py
@@ -17,10 +17,10 @@
 from mimosamux_daemon.domain.names import ContentKey, DaemonId
 from mimosamux_daemon.gateway.crash_suspects import (
     CrashSuspects,
-    EndpointProcess,
+    EndpointIncarnation,
     Suspect,
     join_ids,
-    parse_process,
+    parse_incarnation,
 )
 from mimosamux_daemon.gateway.peer_states import PeerStates
 from mimosamux_daemon.logs import get_log
@@ -58,14 +58,14 @@
         self.states.on_joined.append(self._send_all)
 
     def report_crash(
-        self, process: EndpointProcess, contents: Iterable[ContentKey]
+        self, incarnation: EndpointIncarnation, contents: Iterable[ContentKey]
     ) -> None:
         """Suspect the contents that were running at a crashed endpoint."""
         changed_contents = []
         for content in sorted(contents):
             suspect = Suspect(
                 content=content,
-                crashed=frozenset({process}),
+                crashed=frozenset({incarnation}),
                 last_crash_at=self.clock(),
             )
             if self.merge(suspect, source=LOCAL):
@@ -76,15 +76,15 @@
                 listener(content)
 
     def withdraw(
-        self, process: EndpointProcess, *, source: str = LOCAL
+        self, incarnation: EndpointIncarnation, *, source: str = LOCAL
     ) -> bool:
         """Withdraw a crash at all daemons; False if it was done before."""
-        changed = self.suspects.withdraw(process)
+        changed = self.suspects.withdraw(incarnation)
         if changed is None:
             return False
         log.info(
             'crash_withdrawn',
-            endpoint=process.id,
+            endpoint=incarnation.id,
             contents=len(changed),
             source=source,
         )
@@ -94,15 +94,15 @@
             for listener in listeners:
                 listener(content)
         if source == LOCAL or self.states.forwards_messages:
-            self.states.queue(CrashWithdrawn(endpoint=str(process)))
+            self.states.queue(CrashWithdrawn(endpoint=str(incarnation)))
         return True
 
     async def _receive_withdrawn(
         self, sender: DaemonId, message: CrashWithdrawn
     ) -> None:
-        process = parse_process(message.endpoint)
-        if process is not None:
-            self.withdraw(process, source=sender)
+        incarnation = parse_incarnation(message.endpoint)
+        if incarnation is not None:
+            self.withdraw(incarnation, source=sender)
 
     def announce_cleared(self, content: ContentKey, *, source: str) -> None:
         """Broadcast that a content was cleared at this daemon."""
@@ -157,7 +157,9 @@
         age_s = self.clock() - suspect.last_crash_at
         return SuspectTold(
             content=suspect.content,
-            endpoints=[str(process) for process in sorted(suspect.crashed)],
+            endpoints=[
+                str(incarnation) for incarnation in sorted(suspect.crashed)
+            ],
             age_ms=int(max(age_s, 0.0) * MS_PER_S),
         )
 
@@ -206,11 +208,13 @@
             self.states.queue(SuspectsCleared(contents=list(cleared)))
 
     def _parse(self, record: SuspectTold) -> Suspect | None:
-        processes = [parse_process(text) for text in record.endpoints]
+        incarnations = [parse_incarnation(text) for text in record.endpoints]
         crashed = frozenset(
-            process for process in processes if process is not None
+            incarnation
+            for incarnation in incarnations
+            if incarnation is not None
         )
-        if not record.content or not crashed or None in processes:
+        if not record.content or not crashed or None in incarnations:
             return None
         return Suspect(
             content=ContentKey(record.content),
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/crash_probes.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/crash_probes.py
@@ -11,7 +11,7 @@
 from mimosamux_daemon.domain.names import ContentKey
 from mimosamux_daemon.gateway.peer_states import PeerStates
 
-TRIAL_S = 10.0
+PROBE_INTERVAL_S = 10.0
 """Shortest time between two probe requests for a content, longer than the
 detection of a crash takes."""
 
@@ -26,25 +26,26 @@
 
     states: PeerStates
     clock: Callable[[], float]
-    _began_at: dict[ContentKey, float] = field(default_factory=dict)
+    _reserved_at: dict[ContentKey, float] = field(default_factory=dict)
+    """Time of the last probe request for each content."""
     _started_at: float = field(init=False)
 
     def __post_init__(self) -> None:
         self._started_at = self.clock()
 
-    def begin(self, content: ContentKey) -> bool:
+    def reserve(self, content: ContentKey) -> bool:
         """Reserve a probe request; False if this daemon must not send it."""
         now = self.clock()
-        if now - self._started_at < TRIAL_S:
+        if now - self._started_at < PROBE_INTERVAL_S:
             # Before it knows its peers, the daemon would rank first for
             # every content.
             return False
-        for probed, began_at in tuple(self._began_at.items()):
-            if now - began_at >= TRIAL_S:
-                del self._began_at[probed]
-        if content in self._began_at or not self._is_responsible(content):
+        for probed, reserved_at in tuple(self._reserved_at.items()):
+            if now - reserved_at >= PROBE_INTERVAL_S:
+                del self._reserved_at[probed]
+        if content in self._reserved_at or not self._is_responsible(content):
             return False
-        self._began_at[content] = now
+        self._reserved_at[content] = now
         return True
 
     def _is_responsible(self, content: ContentKey) -> bool:
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/crash_quarantine.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/crash_quarantine.py
@@ -14,7 +14,7 @@
 
 log = get_log('crash_quarantine')
 
-TRIAL_RETRY_S = 1.0
+PROBE_RETRY_S = 1.0
 """Retry-after time in seconds of requests that are refused while a probe
 request decides about their content."""
 
@@ -33,10 +33,10 @@
         if left_s <= 0 and not self.suspects.is_probe_due(content):
             return None
         if left_s <= 0:
-            if self.probes.begin(content):
+            if self.probes.reserve(content):
                 log.info('content_tried', content=content)
                 return None
-            left_s = TRIAL_RETRY_S
+            left_s = PROBE_RETRY_S
         crashed = sorted(self.suspects.by_content[content].crashed)
         return Refused(
             reason=Reason.CRASHES_ENDPOINTS,
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/crash_rows.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/crash_rows.py
@@ -20,7 +20,7 @@
     Write,
 )
 from mimosamux_daemon.gateway.crash_exchange import CrashExchange
-from mimosamux_daemon.gateway.crash_suspects import Suspect, parse_process
+from mimosamux_daemon.gateway.crash_suspects import Suspect, parse_incarnation
 from mimosamux_daemon.gateway.peer_states import PeerStates
 from mimosamux_daemon.logs import get_log
 from mimosamux_daemon.ports import Table
@@ -54,8 +54,11 @@
     first_read: anyio.Event = field(default_factory=anyio.Event)
     """Set once all rows were read."""
     _version_by_content: dict[ContentKey, int] = field(default_factory=dict)
+    """Row versions that were last read or written."""
     _changed: dict[ContentKey, None] = field(default_factory=dict)
+    """Contents whose row has to be written, in order."""
     _cleared: dict[ContentKey, None] = field(default_factory=dict)
+    """Contents whose row has to be deleted, in order."""
     _has_work: anyio.Event = field(default_factory=anyio.Event)
 
     def __post_init__(self) -> None:
@@ -126,8 +129,8 @@
     def _parse(self, content: ContentKey, row: Row) -> Suspect | None:
         try:
             fields = orjson.loads(row.value)
-            processes = [
-                parse_process(str(text)) for text in fields['endpoints']
+            incarnations = [
+                parse_incarnation(str(text)) for text in fields['endpoints']
             ]
             at = float(fields['at'])
         except (ValueError, TypeError, KeyError) as error:
@@ -138,7 +141,9 @@
         return Suspect(
             content=content,
             crashed=frozenset(
-                process for process in processes if process is not None
+                incarnation
+                for incarnation in incarnations
+                if incarnation is not None
             ),
             last_crash_at=self.clock() - age_s,
         )
@@ -197,7 +202,7 @@
         return orjson.dumps(
             {
                 'endpoints': [
-                    str(process) for process in sorted(suspect.crashed)
+                    str(incarnation) for incarnation in sorted(suspect.crashed)
                 ],
                 'at': now - (self.clock() - suspect.last_crash_at),
             }
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/crash_suspects.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/crash_suspects.py
@@ -46,10 +46,10 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True, order=True)
-class EndpointProcess:
+class EndpointIncarnation:
     """One process of an endpoint.
 
-    A restarted endpoint keeps its id and gets a new incarnation.
+    A restarted endpoint keeps its id and gets a new incarnation number.
     """
 
     id: EndpointId
@@ -59,33 +59,33 @@
         return f'{self.id}/{self.incarnation}'
 
 
-def parse_process(text: str) -> EndpointProcess | None:
-    """Parse the `str` form of a process, None if it is malformed."""
+def parse_incarnation(text: str) -> EndpointIncarnation | None:
+    """Parse the `str` form of an incarnation, None if it is malformed."""
     id_, _, number = text.rpartition('/')
     if not id_ or not number.isascii() or not number.isdigit():
         return None
-    return EndpointProcess(id=EndpointId(id_), incarnation=int(number))
+    return EndpointIncarnation(id=EndpointId(id_), incarnation=int(number))
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Suspect:
-    """A content and the endpoint processes that crashed while running it."""
+    """A content and the endpoint incarnations that crashed running it."""
 
     content: ContentKey
-    crashed: frozenset[EndpointProcess]
+    crashed: frozenset[EndpointIncarnation]
     last_crash_at: float
     """Time of the last crash in seconds, on the monotonic clock."""
 
     @property
     def quarantine_s(self) -> float:
         """Return the length of the quarantine after the last crash."""
-        beyond = len(self.crashed) - QUARANTINE_CRASHES
-        if beyond < 0:
+        further_crashes = len(self.crashed) - QUARANTINE_CRASHES
+        if further_crashes < 0:
             return 0.0
         # An unbounded exponent would overflow the power.
-        steps = min(beyond, MAX_EXPONENT)
+        exponent = min(further_crashes, MAX_EXPONENT)
         return min(
-            FIRST_QUARANTINE_S * QUARANTINE_FACTOR**steps, MAX_QUARANTINE_S
+            FIRST_QUARANTINE_S * QUARANTINE_FACTOR**exponent, MAX_QUARANTINE_S
         )
 
     def merge(self, other: 'Suspect') -> 'Suspect':
@@ -98,17 +98,17 @@
 
 
 class CrashSuspects:
-    """Suspected contents by key, bounded in number."""
+    """Keeps the suspected contents by key, bounded in number."""
 
     def __init__(self, *, clock: Callable[[], float]) -> None:
         self.by_content: dict[ContentKey, Suspect] = {}
         self._completed_at: dict[ContentKey, float] = {}
         """Time of the last complete run, the oldest first."""
-        self._cleared: dict[ContentKey, frozenset[EndpointProcess]] = {}
+        self._cleared: dict[ContentKey, frozenset[EndpointIncarnation]] = {}
         """Crashes that a content was cleared of; late reports of them are
         ignored."""
-        self._withdrawn: dict[EndpointProcess, None] = {}
-        """Processes whose crash was withdrawn, the oldest first."""
+        self._withdrawn: dict[EndpointIncarnation, None] = {}
+        """Incarnations whose crash was withdrawn, the oldest first."""
         self._clock = clock
         self._last_sweep_at = clock()
 
@@ -119,9 +119,9 @@
         if not crashed:
             return False
         suspect = replace(suspect, crashed=crashed)
-        known = self._find(suspect.content)
-        merged = suspect if known is None else known.merge(suspect)
-        if known is not None and merged.crashed == known.crashed:
+        stored = self._find(suspect.content)
+        merged = suspect if stored is None else stored.merge(suspect)
+        if stored is not None and merged.crashed == stored.crashed:
             return False
         if self.is_expired(merged) or self.has_completed(suspect.content):
             return False
@@ -159,23 +159,23 @@
         return True
 
     def withdraw(
-        self, process: EndpointProcess
+        self, incarnation: EndpointIncarnation
     ) -> tuple[ContentKey, ...] | None:
         """Withdraw a false crash; return the contents it was counted for.
 
         None if the crash was withdrawn before.
         """
-        if process in self._withdrawn:
+        if incarnation in self._withdrawn:
             return None
-        self._withdrawn[process] = None
+        self._withdrawn[incarnation] = None
         if len(self._withdrawn) > MAX_WITHDRAWN:
             del self._withdrawn[next(iter(self._withdrawn))]
         changed = []
         for content, suspect in tuple(self.by_content.items()):
-            if process not in suspect.crashed:
+            if incarnation not in suspect.crashed:
                 continue
             changed.append(content)
-            crashed = suspect.crashed - {process}
+            crashed = suspect.crashed - {incarnation}
             if crashed:
                 self.by_content[content] = replace(suspect, crashed=crashed)
             else:
@@ -198,8 +198,8 @@
 
     def is_probe_due(self, content: ContentKey) -> bool:
         """Whether the quarantine is over and a probe request is due."""
-        is_held = self.crashes(content) >= QUARANTINE_CRASHES
-        return is_held and self.quarantine_left_s(content) == 0
+        was_quarantined = self.crashes(content) >= QUARANTINE_CRASHES
+        return was_quarantined and self.quarantine_left_s(content) == 0
 
     def may_retry(self, content: ContentKey) -> bool:
         """Whether a content that just failed may go to another endpoint.
@@ -244,6 +244,6 @@
     return len(suspect.crashed), suspect.last_crash_at
 
 
-def join_ids(processes: Iterable[EndpointProcess]) -> str:
+def join_ids(incarnations: Iterable[EndpointIncarnation]) -> str:
     """Return the distinct endpoint ids, sorted and joined by commas."""
-    return ','.join(sorted({process.id for process in processes}))
+    return ','.join(sorted({incarnation.id for incarnation in incarnations}))
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/parts.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/parts.py
@@ -186,7 +186,7 @@
         self.rollouts = Rollouts(
             limits=self.settings.rollouts,
             serving=self.roster.serving,
-            is_alone=self.states.is_alone,
+            is_isolated=self.states.is_alone,
             clock=self._clock,
         )
         self.rollout_rows = RolloutRows(
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/rollout_duty.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/rollout_duty.py
@@ -106,12 +106,12 @@
             # Without a configuration every service would seem unknown.
             return
         for service, order in tuple(self.rollouts.orders_by_service.items()):
-            known = self.rollouts.by_service.get(service)
-            if known is None or known.rollout.order.number < order.number:
-                previous = None if known is None else known.rollout
+            view = self.rollouts.by_service.get(service)
+            if view is None or view.rollout.order.number < order.number:
+                previous = None if view is None else view.rollout
                 await self._start_rollout(order, previous, now)
-            elif not known.rollout.stage.is_over:
-                await self._advance(known.rollout, now)
+            elif not view.rollout.stage.is_over:
+                await self._advance(view.rollout, now)
 
     async def _start_rollout(
         self, order: RolloutOrder, previous: Rollout | None, now: float
@@ -259,15 +259,15 @@
             return
         self._announced_at[service] = self.clock()
         total = self.tallies.total(service)
-        known = self.rollouts.by_service[service]
-        if total is None or known.is_stopped:
+        view = self.rollouts.by_service[service]
+        if total is None or view.is_stopped:
             return
         share = TrialShare(limits=self.rollouts.limits).find(
             requests=total.requests,
             trials=total.trials,
             passed_s=now - rollout.began_at,
         )
-        sequence = known.sequence + 1
+        sequence = view.sequence + 1
         self.rollouts.apply_share(rollout, sequence, share)
         self.exchange.announce(rollout, sequence=sequence, share=share)
 
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/rollout_exchange.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/rollout_exchange.py
@@ -43,8 +43,8 @@
 
     async def _send_all(self, id_: DaemonId) -> None:
         """Send all roll-outs to a daemon that has just started."""
-        for known in self.rollouts.by_service.values():
-            message = _as_message(known.rollout, known.sequence, known.share)
+        for view in self.rollouts.by_service.values():
+            message = _as_message(view.rollout, view.sequence, view.share)
             await self.peers.notify(id_, message)
 
     async def _receive(self, sender: DaemonId, message: RolloutTold) -> None:
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/rollouts.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/rollouts.py
@@ -73,7 +73,7 @@
     limits: RolloutLimits
     serving: Callable[[ServiceName], Sequence[EndpointRecord]]
     """Returns the endpoints of a service that accept requests."""
-    is_alone: Callable[[], bool]
+    is_isolated: Callable[[], bool]
     """Returns whether other daemons are known but none is reachable."""
     clock: Callable[[], float]
     by_service: dict[ServiceName, RolloutView] = field(default_factory=dict)
@@ -89,8 +89,8 @@
 
         Its version gets no requests until its trial begins.
         """
-        known = self.orders_by_service.get(order.service)
-        if known is not None and order.number <= known.number:
+        newest = self.orders_by_service.get(order.service)
+        if newest is not None and order.number <= newest.number:
             return
         self.orders_by_service[order.service] = order
         log.info(
@@ -104,8 +104,8 @@
     def apply_step(self, rollout: Rollout, *, source: str) -> bool:
         """Store a step of a roll-out; False if it is not newer."""
         service = rollout.order.service
-        known = self.by_service.get(service)
-        if known is not None and rollout.age <= known.rollout.age:
+        view = self.by_service.get(service)
+        if view is not None and rollout.age <= view.rollout.age:
             return False
         self.by_service[service] = RolloutView(rollout=rollout)
         log.info(
@@ -126,56 +126,56 @@
         self, rollout: Rollout, sequence: int, share: float
     ) -> bool:
         """Store the share announced for a trial; False if it is outdated."""
-        known = self.by_service.get(rollout.order.service)
-        if known is None or known.rollout.age != rollout.age:
+        view = self.by_service.get(rollout.order.service)
+        if view is None or view.rollout.age != rollout.age:
             return False
-        if sequence <= known.sequence:
+        if sequence <= view.sequence:
             return False
-        known.sequence = sequence
-        known.share = share
-        known.share_expires_at = self.clock() + SHARE_VALIDITY_S
+        view.sequence = sequence
+        view.share = share
+        view.share_expires_at = self.clock() + SHARE_VALIDITY_S
         return True
 
     def stop_trial(self, service: ServiceName, reason: str) -> None:
         """Stop sending requests of this daemon to a version under trial."""
-        known = self.by_service[service]
-        if not known.is_stopped:
-            known.is_stopped = True
+        view = self.by_service[service]
+        if not view.is_stopped:
+            view.is_stopped = True
             log.warning(
                 'trial_stopped',
                 service=service,
-                version=known.rollout.order.version,
+                version=view.rollout.order.version,
                 reason=reason,
             )
 
     def current(self, service: ServiceName) -> Rollout | None:
         """Return the roll-out in progress for a service, if any."""
-        known = self.by_service.get(service)
-        if known is None or known.rollout.stage.is_over:
+        view = self.by_service.get(service)
+        if view is None or view.rollout.stage.is_over:
             return None
-        return known.rollout
+        return view.rollout
 
     def is_changing(self, service: ServiceName) -> bool:
         """Whether a roll-out of a service is pending or in progress."""
         order = self.orders_by_service.get(service)
-        known = self.by_service.get(service)
-        if known is None:
+        view = self.by_service.get(service)
+        if view is None:
             return order is not None
         is_newer = (
-            order is not None and order.number > known.rollout.order.number
+            order is not None and order.number > view.rollout.order.number
         )
-        return is_newer or not known.rollout.stage.is_over
+        return is_newer or not view.rollout.stage.is_over
 
     def share(self, service: ServiceName) -> float:
         """Return the share of requests that go to a version under trial."""
-        known = self.by_service.get(service)
-        if known is None or known.is_stopped or self.is_alone():
+        view = self.by_service.get(service)
+        if view is None or view.is_stopped or self.is_isolated():
             # An isolated daemon does not learn of bad answers elsewhere.
             return 0.0
-        if known.rollout.stage is not RolloutStage.TRIAL:
+        if view.rollout.stage is not RolloutStage.TRIAL:
             return 0.0
-        if self.clock() < known.share_expires_at:
-            return known.share
+        if self.clock() < view.share_expires_at:
+            return view.share
         return SAFE_FRACTION * self.limits.share
 
     def filter_endpoints(
@@ -193,25 +193,25 @@
         routes are sampled more often.
         """
         order = self.orders_by_service.get(service)
-        known = self.by_service.get(service)
-        if order is None and known is None:
+        view = self.by_service.get(service)
+        if order is None and view is None:
             return list(records)
-        unproven = self._unproven_versions(order, known)
+        unproven = self._unproven_versions(order, view)
         proven = _exclude_versions(records, unproven)
-        if known is None or known.rollout.stage.is_over:
-            if known is None and not self._has_proven(service, unproven):
+        if view is None or view.rollout.stage.is_over:
+            if view is None and not self._has_proven(service, unproven):
                 # The order is for the version that runs already, or its
                 # steps are not known yet: no other version can be used.
                 return list(records)
             return proven
-        version = known.rollout.order.version
+        version = view.rollout.order.version
         new = [
             record for record in records if record.listed.software == version
         ]
-        if known.rollout.stage is not RolloutStage.TRIAL:
+        if view.rollout.stage is not RolloutStage.TRIAL:
             return new or proven
         share = weight * self.share(service)
-        if allow_trial and draw(request_id) < share:
+        if allow_trial and hash_to_fraction(request_id) < share:
             return choose_trial_endpoints(new, self.limits.share) or proven
         return proven
 
@@ -220,10 +220,8 @@
     ) -> list[EndpointRecord]:
         """Return those of the endpoints whose version is proven."""
         order = self.orders_by_service.get(service)
-        known = self.by_service.get(service)
-        return _exclude_versions(
-            records, self._unproven_versions(order, known)
-        )
+        view = self.by_service.get(service)
+        return _exclude_versions(records, self._unproven_versions(order, view))
 
     def _has_proven(self, service: ServiceName, unproven: set[str]) -> bool:
         return any(
@@ -232,13 +230,13 @@
         )
 
     def _unproven_versions(
-        self, order: RolloutOrder | None, known: RolloutView | None
+        self, order: RolloutOrder | None, view: RolloutView | None
     ) -> set[str]:
         unproven: set[str] = set()
-        if known is not None:
-            unproven |= set(known.rollout.unproven())
+        if view is not None:
+            unproven |= set(view.rollout.unproven())
         is_pending = order is not None and (
-            known is None or order.number > known.rollout.order.number
+            view is None or order.number > view.rollout.order.number
         )
         if order is not None and is_pending:
             unproven.add(order.version)
@@ -253,9 +251,12 @@
     ]
 
 
-def draw(request_id: str) -> float:
-    """Hash an id to a number from 0 to 1, the same at every daemon."""
-    digest = xxhash.xxh3_64_intdigest(f'trial {request_id}'.encode())
+def hash_to_fraction(id_: str) -> float:
+    """Map a request or endpoint id to a number from 0 to 1.
+
+    Every daemon computes the same number.
+    """
+    digest = xxhash.xxh3_64_intdigest(f'trial {id_}'.encode())
     return float(digest / 2**HASH_BITS)
 
 
@@ -267,6 +268,6 @@
     Their number is limited so that each gets as much load as an endpoint of
     the old version; a version that fails only under load would pass otherwise.
     """
-    ranked = sorted(records, key=lambda record: draw(record.id))
+    ranked = sorted(records, key=lambda record: hash_to_fraction(record.id))
     count = max(MIN_TRIAL_ENDPOINTS, math.ceil(share * len(ranked)))
     return ranked[:count]
--- a/tests/test_gateway_crash_exchange.py
+++ b/tests/test_gateway_crash_exchange.py
@@ -11,7 +11,7 @@
 from mimosamux_daemon.gateway.crash_suspects import (
     MAX_SUSPECTS,
     CrashSuspects,
-    EndpointProcess,
+    EndpointIncarnation,
 )
 from mimosamux_wire import (
     CrashWithdrawn,
@@ -20,7 +20,7 @@
     SuspectTold,
 )
 
-START = EndpointProcess(id='i-1')
+START = EndpointIncarnation(id='i-1')
 
 
 class FakeStates:
@@ -78,7 +78,7 @@
         self.exchange.report_crash(START, ['a'])
         self.tell('a', 'i-1/0')
         self.assertEqual(self.peers.sent, [])
-        self.exchange.report_crash(EndpointProcess(id='i-2'), ['a'])
+        self.exchange.report_crash(EndpointIncarnation(id='i-2'), ['a'])
         self.tell('a', 'i-1/0')
         ((daemon, message),) = self.peers.sent
         self.assertEqual(daemon, 'peer')
@@ -99,7 +99,7 @@
         self.tell('a', 'i-1/0')
         self.assertEqual(self.suspects.by_content, {})
         self.assertFalse(self.exchange.withdraw(START))
-        self.assertTrue(self.exchange.withdraw(EndpointProcess(id='i-2')))
+        self.assertTrue(self.exchange.withdraw(EndpointIncarnation(id='i-2')))
         self.assertEqual(
             self.states.queued, [CrashWithdrawn(endpoint='i-2/0')]
         )
@@ -199,17 +199,17 @@
     def have_event(self, contents):
         rng = self.rng
         exchange = rng.choice(self.exchanges)
-        process = EndpointProcess(id=f'i-{rng.randrange(ENDPOINTS)}')
+        incarnation = EndpointIncarnation(id=f'i-{rng.randrange(ENDPOINTS)}')
         kind = rng.random()
         if kind < 0.5:
             under_way = rng.sample(contents, rng.randint(1, len(contents)))
-            exchange.report_crash(process, under_way)
+            exchange.report_crash(incarnation, under_way)
         elif kind < 0.85:
             content = rng.choice(contents)
             if exchange.suspects.note_completion(content):
                 exchange.announce_cleared(content, source='a whole run')
         else:
-            exchange.withdraw(process)
+            exchange.withdraw(incarnation)
 
 
 RELAYS = 4
--- a/tests/test_gateway_crash_suspects.py
+++ b/tests/test_gateway_crash_suspects.py
@@ -13,14 +13,14 @@
     MIN_SUSPICION_S,
     QUARANTINE_CRASHES,
     CrashSuspects,
-    EndpointProcess,
+    EndpointIncarnation,
     Suspect,
-    parse_process,
+    parse_incarnation,
 )
 
 
 def start(number, incarnation=0):
-    return EndpointProcess(id=f'i-{number}', incarnation=incarnation)
+    return EndpointIncarnation(id=f'i-{number}', incarnation=incarnation)
 
 
 def suspect(content, *numbers, at=0.0):
@@ -135,9 +135,9 @@
 
     def test_starts_are_read_as_they_are_written(self):
         for text in ('i-1/0', 'a/b/17'):
-            self.assertEqual(str(parse_process(text)), text)
+            self.assertEqual(str(parse_incarnation(text)), text)
         for text in ('', 'i-1', 'i-1/', '/1', 'i-1/x', 'i-1/-1'):
-            self.assertIsNone(parse_process(text))
+            self.assertIsNone(parse_incarnation(text))
 
     @given(crashes=CRASHES, data=st.data())
     def test_daemons_know_the_same_in_whatever_order_they_hear(
--- a/tests/test_gateway_trials.py
+++ b/tests/test_gateway_trials.py
@@ -62,7 +62,7 @@
         self.rollouts = Rollouts(
             limits=LIMITS,
             serving=lambda service: self.records,
-            is_alone=lambda: self.is_alone,
+            is_isolated=lambda: self.is_alone,
             clock=lambda: self.now,
         )
 
