--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/crash_probes.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/crash_probes.py
@@ -18,38 +18,32 @@
 
 @dataclass(kw_only=True, slots=True)
 class CrashProbes:
-    """Decides whether this daemon sends a probe request.
-
-    Rendezvous hashing over the daemons that are ready assigns each content to
-    one of them.
-    """
+    """Probe requests of this daemon; one daemon per content sends them."""
 
     states: PeerStates
     clock: Callable[[], float]
-    _reserved_at: dict[ContentKey, float] = field(default_factory=dict)
-    """Time of the last probe request for each content."""
+    _began_at: dict[ContentKey, float] = field(default_factory=dict)
     _started_at: float = field(init=False)
 
     def __post_init__(self) -> None:
         self._started_at = self.clock()
 
-    def reserve(self, content: ContentKey) -> bool:
-        """Reserve a probe request; False if this daemon must not send it."""
+    def begin(self, content: ContentKey) -> bool:
+        """Begin a probe; False if this daemon must not send one now."""
         now = self.clock()
         if now - self._started_at < PROBE_INTERVAL_S:
-            # Before it knows its peers, the daemon would rank first for
-            # every content.
+            # Until it knows its peers, it ranks first for every content.
             return False
-        for probed, reserved_at in tuple(self._reserved_at.items()):
-            if now - reserved_at >= PROBE_INTERVAL_S:
-                del self._reserved_at[probed]
-        if content in self._reserved_at or not self._is_responsible(content):
+        for probed, began_at in tuple(self._began_at.items()):
+            if now - began_at >= PROBE_INTERVAL_S:
+                del self._began_at[probed]
+        if content in self._began_at or not self._is_responsible(content):
             return False
-        self._reserved_at[content] = now
+        self._began_at[content] = now
         return True
 
     def _is_responsible(self, content: ContentKey) -> bool:
-        """Whether this daemon ranks first for a content among those ready."""
-        own_id = self.states.place.id
-        peers = [peer.place.id for peer in self.states.ready()]
-        return rank([own_id, *peers], content)[0] == own_id
+        """Whether this daemon ranks first for a content by rendezvous hash."""
+        own = self.states.place.id
+        others = [peer.place.id for peer in self.states.ready()]
+        return rank([own, *others], content)[0] == own
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/crash_quarantine.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/crash_quarantine.py
@@ -1,7 +1,4 @@
-"""Decides whether a request may be sent, from the crashes of its content.
-
-Contents that repeatedly crash endpoints are quarantined; see crash_suspects.
-"""
+"""Refuses requests whose content is quarantined after endpoint crashes."""
 
 from dataclasses import dataclass
 
@@ -33,7 +30,7 @@
         if left_s <= 0 and not self.suspects.is_probe_due(content):
             return None
         if left_s <= 0:
-            if self.probes.reserve(content):
+            if self.probes.begin(content):
                 log.info('content_tried', content=content)
                 return None
             left_s = PROBE_RETRY_S
@@ -52,15 +49,14 @@
         return self.suspects.crashes(content) > 0
 
     def is_quarantined(self, content: ContentKey) -> bool:
-        """Whether a content is in quarantine."""
+        """Whether a content is quarantined at the moment."""
         return self.suspects.quarantine_left_s(content) > 0
 
     def may_retry(self, content: ContentKey, *, was_not_run: bool) -> bool:
         """Whether a failed request may be sent to another endpoint.
 
-        `was_not_run`: the endpoint did not run the request. If it ran,
-        the request may have crashed the endpoint, which is detected only a
-        moment later.
+        One that has run and failed just now may have crashed its endpoint,
+        which is detected only a moment later.
         """
         if self.is_quarantined(content):
             return False
@@ -76,7 +72,7 @@
             self.exchange.announce_cleared(content, source='a whole run')
 
     def release(self, content: ContentKey) -> bool:
-        """Clear a content for an operator; False if it is no suspect."""
+        """Clear a content for an operator; False if it is not suspected."""
         if not self.suspects.clear(content):
             return False
         self.exchange.announce_cleared(content, source='an operator')
