--- a/tests/test_gateway_endpoints.py
+++ b/tests/test_gateway_endpoints.py
@@ -177,7 +177,7 @@
                 daemon = site.daemons[0].daemon
                 for _ in range(3):
                     engine = await site.add_replica('llm', 'north')
-                    daemon.parts.chooser.parts.note_read(
+                    daemon.parts.chooser.prefix_index.note_read(
                         EndpointId(engine.id), USE
                     )
                     await anyio.sleep(1)
@@ -186,6 +186,6 @@
                     await anyio.sleep(GONE_RETENTION_S + 1)
                 await site.add_replica('llm', 'north')
                 await anyio.sleep(1)
-                return len(daemon.parts.chooser.parts)
+                return len(daemon.parts.chooser.prefix_index)
 
         self.assertEqual(run_paused(check), 0)
