--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/confirmations.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/acknowledgements.py
@@ -24,20 +24,20 @@
     at: float
 
 
-class Confirmations:
+class Acknowledgements:
     """Collects acknowledgements, and builds those for the own group."""
 
     def __init__(
         self,
         *,
-        lifetime: int,
+        incarnation: int,
         by_id: Mapping[DaemonId, PeerState],
         relays: Relays,
         clock: Callable[[], float],
     ) -> None:
         self.changed = anyio.Event()
         """Set, and replaced by a new one, when a peer acknowledges more."""
-        self._lifetime = lifetime
+        self._own_incarnation = incarnation
         self._by_id = by_id
         self._relays = relays
         self._clock = clock
@@ -45,7 +45,7 @@
         self._ack_by_relay: dict[DaemonId, _RelayAck] = {}
         """Last acknowledgement by the relay of each other group."""
 
-    def for_members(self, age_s: float) -> list[GroupHeard]:
+    def received_from_groups(self, age_s: float) -> list[GroupHeard]:
         """Return acknowledgements of other groups, none older than an age."""
         oldest = self._clock() - age_s
         return [
@@ -58,9 +58,7 @@
         """Remove the acknowledgement of a daemon that is given up."""
         self._ack_by_relay.pop(id_, None)
 
-    def group_heard(
-        self, id_: DaemonId, members: list[DaemonId]
-    ) -> GroupHeard:
+    def build_for(self, id_: DaemonId, members: list[DaemonId]) -> GroupHeard:
         """Build the acknowledgement by this daemon and its members.
 
         It covers only the daemons whose digests the receiver `id_` forwards.
@@ -81,8 +79,10 @@
             if id_ in (peer.place.id, peer.via)
             or (is_group_member and peer.place.id in members)
         ]
-        lifetimes = [peer.incarnation for peer in represented]
-        return GroupHeard(members=[self._lifetime, *lifetimes], heard=heard)
+        incarnations = [peer.incarnation for peer in represented]
+        return GroupHeard(
+            members=[self._own_incarnation, *incarnations], heard=heard
+        )
 
     def _acked_by_all(
         self, origin: PeerState, members: list[PeerState]
@@ -102,11 +102,13 @@
         """Take the acknowledgements of this daemon's digests from a batch."""
         peer = self._by_id.get(sender)
         if peer is not None and peer.incarnation == neighbour.incarnation:
-            self.note_heard(peer, neighbour.acked_sequence(self._lifetime))
+            self.record_ack(
+                peer, neighbour.acked_sequence(self._own_incarnation)
+            )
         acked_by_incarnation: dict[int, int] = {}
         for group in batch.confirmed:
             for heard in group.heard:
-                if heard.lifetime == self._lifetime:
+                if heard.lifetime == self._own_incarnation:
                     for lifetime in group.members:
                         highest = acked_by_incarnation.get(lifetime, 0)
                         acked_by_incarnation[lifetime] = max(
@@ -116,20 +118,20 @@
             for each in self._by_id.values():
                 sequence = acked_by_incarnation.get(each.incarnation)
                 if sequence is not None:
-                    self.note_heard(each, sequence)
+                    self.record_ack(each, sequence)
         if batch.confirmed and not batch.is_member:
             self._ack_by_relay[sender] = _RelayAck(
                 ack=batch.confirmed[0], at=self._clock()
             )
-        self.wake_waiters()
+        self.notify_waiters()
 
-    def note_heard(self, peer: PeerState, sequence: int) -> None:
+    def record_ack(self, peer: PeerState, sequence: int) -> None:
         """Record that a peer has a digest and all before it."""
         if sequence > peer.acked_sequence:
             peer.acked_sequence = sequence
             self._has_new_ack = True
 
-    def wake_waiters(self) -> None:
+    def notify_waiters(self) -> None:
         """Wake the waiting tasks if there was a new acknowledgement."""
         if self._has_new_ack:
             self._has_new_ack = False
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/peer_states.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/peer_states.py
@@ -26,7 +26,7 @@
 
 from mimosamux_daemon.control.members import MemberState
 from mimosamux_daemon.domain.names import DaemonId, DataCentreName
-from mimosamux_daemon.gateway.confirmations import Confirmations
+from mimosamux_daemon.gateway.acknowledgements import Acknowledgements
 from mimosamux_daemon.gateway.groups import LARGEST_GROUP, UNKNOWN_DATA_CENTRE
 from mimosamux_daemon.gateway.neighbours import EncodedDigest, RecentDigests
 from mimosamux_daemon.gateway.peer_records import (
@@ -127,8 +127,8 @@
             is_relay=self._is_relay,
         )
         self._own_digests = RecentDigests(incarnation=incarnation)
-        self._confirmations = Confirmations(
-            lifetime=incarnation,
+        self._acknowledgements = Acknowledgements(
+            incarnation=incarnation,
             by_id=self.by_id,
             relays=self._relays,
             clock=clock,
@@ -172,7 +172,7 @@
     @property
     def confirmed(self) -> anyio.Event:
         """Set, and replaced by a new one, when a peer acknowledges more."""
-        return self._confirmations.changed
+        return self._acknowledgements.changed
 
     @property
     def acts_as_relay(self) -> bool:
@@ -362,11 +362,11 @@
             return None
         if not batch.is_member:
             batch.confirmed.append(
-                self._confirmations.group_heard(id_, members)
+                self._acknowledgements.build_for(id_, members)
             )
         if id_ in members:
             batch.confirmed.extend(
-                self._confirmations.for_members(self.fresh_s)
+                self._acknowledgements.received_from_groups(self.fresh_s)
             )
         return batch
 
@@ -403,7 +403,7 @@
             self._relays.note_member(neighbour)
         for data in batch.digests:
             self._take_data(data, sender)
-        self._confirmations.take(sender, neighbour, batch)
+        self._acknowledgements.take(sender, neighbour, batch)
         if is_new:
             await self._send_known_daemons(sender)
 
@@ -420,8 +420,8 @@
         peer = self.by_id.get(sender)
         for heard in digest.heard:
             if peer is not None and heard.lifetime == self.incarnation:
-                self._confirmations.note_heard(peer, heard.sequence)
-        self._confirmations.wake_waiters()
+                self._acknowledgements.record_ack(peer, heard.sequence)
+        self._acknowledgements.notify_waiters()
         if is_new:
             await self._send_known_daemons(sender)
 
@@ -554,7 +554,7 @@
                 continue
             log.info('peer_forgotten', peer=id_)
             self._relays.forget(id_)
-            self._confirmations.forget(id_)
+            self._acknowledgements.forget(id_)
             self._unbatched_ids.pop(id_, None)
             self.by_id.pop(id_, None)
             self._peers.forget(id_)
