--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/admission.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/admission.py
@@ -61,7 +61,7 @@
     refused: Refused
     """Refusal to send if the acknowledgement does not arrive in time."""
     account: AccountId
-    missing_parts: float
+    missing_shares: float
     """Allotment that the request lacks, which other daemons may lend."""
 
 
@@ -90,7 +90,7 @@
         deadline = self.clock() + ACK_WAIT_S
         lenders: set[DaemonId] = set()
         while True:
-            confirmed = self.caps.confirmed
+            confirmed = self.caps.ack_received
             job = self._check(request, sink)
             if not isinstance(job, _Unacked):
                 return job
@@ -98,10 +98,10 @@
             if left_s <= 0:
                 return job.refused
             if (
-                job.missing_parts
+                job.missing_shares
                 and len(lenders) < MAX_LENDERS
                 and await self.loans.borrow(
-                    job.account, job.missing_parts, tried=lenders
+                    job.account, job.missing_shares, tried=lenders
                 )
             ):
                 continue
@@ -140,7 +140,7 @@
     def refund_cap(self, job: Job) -> None:
         """Refund what a request that has not run was charged."""
         if job.account is not None and job.cost:
-            self.caps.give_back(job.account, job.cost)
+            self.caps.refund(job.account, job.cost)
             job.cost = 0.0
 
     def _find_account(
@@ -202,7 +202,7 @@
         refused = Refused(
             reason=(
                 Reason.CAP_UNCONFIRMED
-                if refusal.is_unconfirmed
+                if refusal.awaits_acks
                 else Reason.OVER_CAP
             ),
             message=(
@@ -211,12 +211,12 @@
             ),
             retry_after_s=refusal.retry_after_s * self.rng.uniform(1.0, 1.5),
         )
-        if not refusal.is_unconfirmed:
+        if not refusal.awaits_acks:
             return refused
         return _Unacked(
             refused=refused,
             account=account.id,
-            missing_parts=refusal.missing_parts,
+            missing_shares=refusal.missing_shares,
         )
 
 
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/cap_loans.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/cap_loans.py
@@ -95,7 +95,7 @@
 
     async def return_unneeded(self) -> None:
         """Return the borrowed shares that the own use does not need."""
-        self.caps.settle_loans()
+        self.caps.mark_unneeded_loans()
         for number in self.caps.loans.pop_unneeded():
             account, lender = self._lender_by_loan.pop(number)
             await self.peers.notify(
@@ -140,7 +140,7 @@
             return 0.0
         self._lender_by_loan[number] = (account, lender)
         loans = self.caps.loans
-        loans.note_borrowed(number, account, answer.share, requested_at)
+        loans.add_borrowed(number, account, answer.share, requested_at)
         return answer.share
 
     async def _handle_request(
@@ -153,6 +153,6 @@
     async def _handle_return(
         self, sender: DaemonId, message: CapLoanReturned
     ) -> None:
-        self.caps.loans.note_returned(
+        self.caps.loans.remove_lent(
             AccountId(message.account), (message.lifetime, message.number)
         )
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/cap_record.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/cap_record.py
@@ -12,7 +12,7 @@
 
 from mimosamux_daemon.domain.names import AccountId
 from mimosamux_daemon.domain.store import Row, Unavailable, Write
-from mimosamux_daemon.gateway.caps import UsageCaps, UseRecord
+from mimosamux_daemon.gateway.caps import UsageCaps, UsageRecord
 from mimosamux_daemon.gateway.peer_states import PeerStates
 from mimosamux_daemon.logs import get_log
 from mimosamux_daemon.ports import Table
@@ -44,7 +44,7 @@
         while True:
             if not is_read:
                 is_read = await self._read()
-            elif self.caps.has_moved(WRITE_SHARE) and self._is_writer():
+            elif self.caps.is_record_stale(WRITE_SHARE) and self._is_writer():
                 await self._write()
             await anyio.sleep(POLL_S)
 
@@ -55,14 +55,14 @@
             return False
         parsed = None if row is None else _parse(row)
         if parsed is None:
-            self.caps.take_record(None)
+            self.caps.load_record(None)
         else:
             at, record = parsed
-            self.caps.take_record(record, age_s=max(now - at, 0.0))
+            self.caps.load_record(record, age_s=max(now - at, 0.0))
         return True
 
     async def _write(self) -> None:
-        record, now = self.caps.record(), self.store_time()
+        record, now = self.caps.export_record(), self.store_time()
         if not record or now is None:
             return
         value = orjson.dumps({'at': now, 'uses': record})
@@ -74,7 +74,7 @@
         return self.states.place.id <= min(ids, default='~')
 
 
-def _parse(row: Row) -> tuple[float, UseRecord] | None:
+def _parse(row: Row) -> tuple[float, UsageRecord] | None:
     try:
         fields = orjson.loads(row.value)
         uses = {
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/caps.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/caps.py
@@ -121,7 +121,7 @@
         self.total += amount
         self._entries.append((sequence, now, amount))
 
-    def forget(self, confirmed: int, oldest: float) -> None:
+    def forget(self, acked: int, oldest: float) -> None:
         """Drop use that all peers have acknowledged or that has expired.
 
         A peer that receives nothing from this daemon may still be heard by it.
@@ -130,7 +130,7 @@
         """
         entries = self._entries
         while entries and (
-            entries[0][0] <= confirmed or entries[0][1] <= oldest
+            entries[0][0] <= acked or entries[0][1] <= oldest
         ):
             self.total -= entries.popleft()[2]
         if not entries:
@@ -170,13 +170,13 @@
     """When to retry a use that the cap does not admit, and what it lacks."""
 
     retry_after_s: float
-    is_unconfirmed: bool = False
+    awaits_acks: bool = False
     """Whether the cap has room that is usable once peers acknowledge."""
-    missing_parts: float = 0.0
+    missing_shares: float = 0.0
     """Allotments to borrow from peers to admit the use."""
 
 
-UseRecord = dict[AccountId, list[tuple[float, float]]]
+UsageRecord = dict[AccountId, list[tuple[float, float]]]
 """Use of each account as pairs of age in seconds and amount."""
 
 
@@ -210,7 +210,7 @@
         if cap is None:
             return None
         if self._lacks_history():
-            return CapRefusal(retry_after_s=MIN_RETRY_S, is_unconfirmed=True)
+            return CapRefusal(retry_after_s=MIN_RETRY_S, awaits_acks=True)
         state = self._refresh(account.id)
         state.limit, state.rate = self._limit(cap), cap.rate_per_s
         remaining = state.limit - self._used(state)
@@ -224,32 +224,32 @@
         if missing > 0:
             return CapRefusal(
                 retry_after_s=ACK_RETRY_S,
-                is_unconfirmed=True,
-                missing_parts=missing,
+                awaits_acks=True,
+                missing_shares=missing,
             )
         self._count(state, cost)
         return None
 
     def lend(self, account: AccountId, id_: LoanId, wanted: float) -> float:
         """Lend a share of this daemon's allotment and return its size."""
-        if self._lacks_history() or account in self.loans.accounts():
+        if self._lacks_history() or account in self.loans.borrowing_accounts():
             return 0.0
         state = self._refresh(account)
-        taken = self._shares_used(state) + self.loans.lent(account)
+        taken = self._shares_used(state) + self.loans.lent_share(account)
         share = min(wanted, 1 - UNLENT_SHARE - taken)
         if share <= 0:
             return 0.0
         self.loans.lend(account, id_, share)
         return share
 
-    def settle_loans(self) -> None:
+    def mark_unneeded_loans(self) -> None:
         """Have the loan book release the borrowed shares not in use."""
         needed = {}
-        for account in self.loans.accounts():
+        for account in self.loans.borrowing_accounts():
             state = self._refresh(account)
-            taken = self._shares_used(state) + self.loans.lent(account)
+            taken = self._shares_used(state) + self.loans.lent_share(account)
             needed[account] = taken - 1
-        self.loans.settle(needed)
+        self.loans.mark_unneeded(needed)
 
     def _lacks_history(self) -> bool:
         """Whether this daemon still waits to learn of use before its start."""
@@ -274,22 +274,24 @@
         cost: float,
     ) -> float:
         """Return the allotments that a use needs beyond the available ones."""
-        own_share = 1 - self.loans.lent(id_)
+        own_share = 1 - self.loans.lent_share(id_)
         taken = state.unacked.total + cost
-        if taken <= (own_share + self.loans.borrowed(id_)) * allotment:
+        if taken <= (own_share + self.loans.borrowed_share(id_)) * allotment:
             return 0.0
         if self._states.is_flat and own_share > 0 and not state.unacked.total:
             # In a small site, one long prompt per daemon stays within the
             # tolerance; with two hundred daemons it would not.
             return 0.0
         return (
-            taken / max(allotment, 1.0) - own_share - self.loans.borrowed(id_)
+            taken / max(allotment, 1.0)
+            - own_share
+            - self.loans.borrowed_share(id_)
         )
 
     @property
-    def confirmed(self) -> anyio.Event:
+    def ack_received(self) -> anyio.Event:
         """Set, and replaced by a new one, when a peer acknowledges more."""
-        return self._states.confirmed
+        return self._states.acked
 
     def describe(self, account: AccountEntry) -> str:
         """Return the figures behind an account's last decision."""
@@ -300,7 +302,7 @@
             f'daemons {self._reachable()} of {self._states.expected()}'
         )
 
-    def give_back(self, account: AccountEntry, cost: float) -> None:
+    def refund(self, account: AccountEntry, cost: float) -> None:
         """Refund the cost of an `acquire` whose request has not run."""
         state = self._by_id.get(account.id)
         if state is not None and account.cap is not None:
@@ -312,7 +314,7 @@
         state.unacked.add(self._states.next_sequence, now, amount)
         state.own_total += amount
 
-    def has_moved(self, share: float) -> bool:
+    def is_record_stale(self, share: float) -> bool:
         """Whether an account has used much since the last record.
 
         `share` is the threshold as a fraction of the cap's rate per second.
@@ -323,10 +325,10 @@
             for state in self._by_id.values()
         )
 
-    def record(self) -> UseRecord:
+    def export_record(self) -> UsageRecord:
         """Return the use of accounts above `RECORDED_SHARE` of their caps."""
         now = self._clock()
-        record: UseRecord = {}
+        record: UsageRecord = {}
         for id_, state in self._refresh_all().items():
             state.cumulative_at_record = state.uses.cumulative
             if state.uses.total <= RECORDED_SHARE * state.limit:
@@ -340,8 +342,8 @@
             record[id_] = sorted(by_age.items(), reverse=True)
         return record
 
-    def take_record(
-        self, record: UseRecord | None, *, age_s: float = 0.0
+    def load_record(
+        self, record: UsageRecord | None, *, age_s: float = 0.0
     ) -> None:
         """Load the use before this daemon started, None if unrecorded."""
         self._has_history = True
@@ -425,15 +427,15 @@
         return state
 
     def _refresh_all(self) -> dict[AccountId, _AccountUsage]:
-        confirmed = self._states.acked_by_all()
+        acked = self._states.acked_by_all()
         for state in self._by_id.values():
-            self._expire(state, confirmed)
+            self._expire(state, acked)
         return self._by_id
 
-    def _expire(self, state: _AccountUsage, confirmed: int) -> None:
+    def _expire(self, state: _AccountUsage, acked: int) -> None:
         oldest = self._clock() - self._window_s
         state.uses.expire(oldest)
-        state.unacked.forget(confirmed, oldest)
+        state.unacked.forget(acked, oldest)
 
     def _used(self, state: _AccountUsage) -> float:
         used = max(state.uses.total, self._used_by_peer_reports(state))
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/loan_book.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/loan_book.py
@@ -5,7 +5,7 @@
 
 from mimosamux_daemon.domain.names import AccountId
 
-USABLE_S = 1.0
+LOAN_S = 1.0
 """Time after its request for which a borrowed share may be used. A borrower
 that dies reports nothing, so its lender waits for this time plus one window,
 after which no use of the share can still count."""
@@ -46,7 +46,7 @@
     _borrowed_by_number: dict[int, _Borrowed] = field(default_factory=dict)
     _unneeded: list[int] = field(default_factory=list)
 
-    def lent(self, account: AccountId) -> float:
+    def lent_share(self, account: AccountId) -> float:
         """Return the share of the own allotment that is lent to others."""
         loans = self._lent_by_account.get(account)
         if not loans:
@@ -60,15 +60,15 @@
 
     def lend(self, account: AccountId, id_: LoanId, share: float) -> None:
         """Record a share of the own allotment as lent to another daemon."""
-        expires_at = self.clock() + USABLE_S + self.window_s
+        expires_at = self.clock() + LOAN_S + self.window_s
         loans = self._lent_by_account.setdefault(account, {})
         loans[id_] = _Lent(share=share, expires_at=expires_at)
 
-    def note_returned(self, account: AccountId, id_: LoanId) -> None:
+    def remove_lent(self, account: AccountId, id_: LoanId) -> None:
         """Remove a returned loan; an unknown one changes nothing."""
         self._lent_by_account.get(account, {}).pop(id_, None)
 
-    def note_borrowed(
+    def add_borrowed(
         self,
         number: int,
         account: AccountId,
@@ -76,7 +76,7 @@
         requested_at: float,
     ) -> None:
         """Record a share that another daemon has lent to this one."""
-        usable_until = requested_at + USABLE_S
+        usable_until = requested_at + LOAN_S
         self._borrowed_by_number[number] = _Borrowed(
             account=account,
             share=share,
@@ -84,7 +84,7 @@
             in_window_until=usable_until + self.window_s,
         )
 
-    def borrowed(self, account: AccountId) -> float:
+    def borrowed_share(self, account: AccountId) -> float:
         """Return the sum of the borrowed shares that may be used now."""
         now = self.clock()
         return sum(
@@ -93,7 +93,9 @@
             if each.account == account and now < each.usable_until
         )
 
-    def settle(self, needed_by_account: Mapping[AccountId, float]) -> None:
+    def mark_unneeded(
+        self, needed_by_account: Mapping[AccountId, float]
+    ) -> None:
         """Mark the borrowed shares that the own use does not need.
 
         `needed_by_account` is the number of borrowed allotments that the
@@ -111,7 +113,7 @@
             del self._borrowed_by_number[number]
             self._unneeded.append(number)
 
-    def accounts(self) -> set[AccountId]:
+    def borrowing_accounts(self) -> set[AccountId]:
         """Return the accounts for which shares are borrowed."""
         return {each.account for each in self._borrowed_by_number.values()}
 
--- a/tests/test_gateway_cap_loans.py
+++ b/tests/test_gateway_cap_loans.py
@@ -7,7 +7,7 @@
 import anyio
 from mimosamux_daemon.domain.names import AccountId
 from mimosamux_daemon.gateway.caps import CapRules
-from mimosamux_daemon.gateway.loan_book import USABLE_S, LoanBook
+from mimosamux_daemon.gateway.loan_book import LOAN_S, LoanBook
 
 from tests.support.clock import run_paused
 from tests.support.daemon_model import ACCOUNT, ALLOWED, Model, complete
@@ -49,33 +49,33 @@
 
     def test_share_comes_back_when_it_is_returned(self):
         self.book.lend(SCHOOL, (7, 1), 0.5)
-        self.assertEqual(self.book.lent(SCHOOL), 0.5)
-        self.book.note_returned(SCHOOL, (7, 1))
-        self.assertEqual(self.book.lent(SCHOOL), 0.0)
+        self.assertEqual(self.book.lent_share(SCHOOL), 0.5)
+        self.book.remove_lent(SCHOOL, (7, 1))
+        self.assertEqual(self.book.lent_share(SCHOOL), 0.0)
 
     def test_word_of_another_loan_gives_nothing_back(self):
         """A return that was under way for long comes after the next loan."""
         self.book.lend(SCHOOL, (7, 2), 0.5)
-        self.book.note_returned(SCHOOL, (7, 1))
-        self.book.note_returned(SCHOOL, (8, 2))
-        self.assertEqual(self.book.lent(SCHOOL), 0.5)
+        self.book.remove_lent(SCHOOL, (7, 1))
+        self.book.remove_lent(SCHOOL, (8, 2))
+        self.assertEqual(self.book.lent_share(SCHOOL), 0.5)
 
     def test_share_of_a_borrower_that_died_comes_back_after_a_window(self):
         """What it used counts for a window, and nobody tells of it."""
         self.book.lend(SCHOOL, (7, 1), 0.5)
         self.now += WINDOW_S
-        self.assertEqual(self.book.lent(SCHOOL), 0.5)
-        self.now += USABLE_S
-        self.assertEqual(self.book.lent(SCHOOL), 0.0)
+        self.assertEqual(self.book.lent_share(SCHOOL), 0.5)
+        self.now += LOAN_S
+        self.assertEqual(self.book.lent_share(SCHOOL), 0.0)
 
     def test_borrowed_share_is_kept_while_its_uses_are_unconfirmed(self):
         """Given back, it would be used a second time before all know."""
-        self.book.note_borrowed(1, SCHOOL, 0.5, self.now)
-        self.now += USABLE_S
-        self.assertEqual(self.book.borrowed(SCHOOL), 0.0)
-        self.book.settle({SCHOOL: 0.3})
+        self.book.add_borrowed(1, SCHOOL, 0.5, self.now)
+        self.now += LOAN_S
+        self.assertEqual(self.book.borrowed_share(SCHOOL), 0.0)
+        self.book.mark_unneeded({SCHOOL: 0.3})
         self.assertEqual(self.book.pop_unneeded(), [])
-        self.book.settle({SCHOOL: 0.0})
+        self.book.mark_unneeded({SCHOOL: 0.0})
         self.assertEqual(self.book.pop_unneeded(), [1])
 
 
@@ -83,7 +83,7 @@
     def lend(self, *, used, wanted=0.5):
         model = Model(random.Random(1), daemons=4)
         for daemon in model.daemons:
-            daemon.caps.take_record(None)
+            daemon.caps.load_record(None)
         for step in range(40):
             model.step(step)
         caps = model.daemons[0].caps
@@ -98,7 +98,7 @@
         """Its borrower counts on the share: both would use it."""
         model = Model(random.Random(1), daemons=4)
         for daemon in model.daemons:
-            daemon.caps.take_record(None)
+            daemon.caps.load_record(None)
         for step in range(40):
             model.step(step)
         caps = model.daemons[0].caps
@@ -129,7 +129,7 @@
     def flood_with_deaths(self, rng):
         model = Model(rng, daemons=16, centres=('north', 'south'))
         for daemon in model.daemons:
-            daemon.caps.take_record(None)
+            daemon.caps.load_record(None)
         for step in range(400):
             model.step(step)
             for daemon in model.daemons:
@@ -140,13 +140,13 @@
             if step % 100 == 99:
                 number = rng.randrange(4, 16)
                 model.restart(number)
-                model.daemons[number].caps.take_record(None)
+                model.daemons[number].caps.load_record(None)
         return model.most_in_window()
 
     def use(self, model, daemon):
         refusal = daemon.caps.acquire(ACCOUNT, 8.0)
-        if refusal is not None and refusal.missing_parts:
-            complete(daemon.borrow(refusal.missing_parts))
+        if refusal is not None and refusal.missing_shares:
+            complete(daemon.borrow(refusal.missing_shares))
             refusal = daemon.caps.acquire(ACCOUNT, 8.0)
         if refusal is None:
             model.uses.append((model.now, 8.0))
--- a/tests/test_gateway_caps_properties.py
+++ b/tests/test_gateway_caps_properties.py
@@ -26,8 +26,8 @@
         for _ in range(model.rng.randrange(shares[daemon.number] + 1)):
             cost = model.rng.choice([1.0, 1.0, 5.0])
             refusal = daemon.caps.acquire(ACCOUNT, cost)
-            if refusal is not None and refusal.missing_parts:
-                complete(daemon.borrow(refusal.missing_parts))
+            if refusal is not None and refusal.missing_shares:
+                complete(daemon.borrow(refusal.missing_shares))
                 refusal = daemon.caps.acquire(ACCOUNT, cost)
             if refusal is None:
                 model.uses.append((model.now, cost))
@@ -43,7 +43,7 @@
         centres=centres,
     )
     for daemon in model.daemons:
-        daemon.caps.take_record(None)
+        daemon.caps.load_record(None)
     for step in range(STEPS):
         model.cuts = cuts if step in CUT_STEPS else set()
         model.step(step)
