--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/attempts.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/attempts.py
@@ -11,12 +11,12 @@
 from http import HTTPStatus
 
 from mimosamux_daemon.domain.gateway import ListedEndpoint
-from mimosamux_daemon.gateway.begun_counts import BegunCounts
 from mimosamux_daemon.gateway.choice import Choice, Chooser
 from mimosamux_daemon.gateway.crash_detector import CrashDetector
 from mimosamux_daemon.gateway.endpoint_limits import EndpointLimits
 from mimosamux_daemon.gateway.jobs import Job
 from mimosamux_daemon.gateway.metrics import GatewayMetrics
+from mimosamux_daemon.gateway.request_counts import RequestCounts
 from mimosamux_daemon.gateway.roster import OWN_ANSWER, Roster
 from mimosamux_daemon.gateway.trial_tallies import TrialTallies
 from mimosamux_daemon.logs import get_log
@@ -247,7 +247,7 @@
 
     roster: Roster
     chooser: Chooser
-    begun: BegunCounts
+    begun: RequestCounts
     crash_detector: CrashDetector
     limits: EndpointLimits
     trials: TrialTallies
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/caps.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/caps.py
@@ -129,9 +129,7 @@
         forever.
         """
         entries = self._entries
-        while entries and (
-            entries[0][0] <= acked or entries[0][1] <= oldest
-        ):
+        while entries and (entries[0][0] <= acked or entries[0][1] <= oldest):
             self.total -= entries.popleft()[2]
         if not entries:
             # Rounding errors would otherwise leave a small remainder.
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/metering.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/metering.py
@@ -22,8 +22,8 @@
     Unavailable,
     Write,
 )
-from mimosamux_daemon.gateway.begun_counts import BegunCounts
 from mimosamux_daemon.gateway.metrics import GatewayMetrics
+from mimosamux_daemon.gateway.request_counts import RequestCounts
 from mimosamux_daemon.logs import get_log
 from mimosamux_daemon.ports import Table
 from mimosamux_daemon.ports.duty_calls import (
@@ -49,7 +49,7 @@
 
     table: Table
     calls: DutyCalls
-    begun: BegunCounts
+    request_counts: RequestCounts
     lateness_s: float
     """Time after the end of a window until which its report is due."""
     metrics: GatewayMetrics
@@ -73,8 +73,10 @@
     async def _finalize_due(self) -> None:
         if self._version is None and not await self._read():
             return
-        now = self.begun.now()
-        newest = int((now - FINALIZE_DELAY_S) // self.begun.window_s) - 1
+        now = self.request_counts.now()
+        newest = (
+            int((now - FINALIZE_DELAY_S) // self.request_counts.window_s) - 1
+        )
         due = [
             window
             for window in range(newest - RETAINED_WINDOWS + 1, newest + 1)
@@ -86,7 +88,7 @@
     async def _finalize(self, windows: list[int]) -> None:
         finalized = dict(self._finalized)
         for window in windows:
-            finalized[window] = dict(self.begun.total(window))
+            finalized[window] = dict(self.request_counts.total(window))
         retained = sorted(finalized)[-RETAINED_WINDOWS:]
         finalized = {window: finalized[window] for window in retained}
         outcome = await self.table.commit(
@@ -120,7 +122,7 @@
         for window in sorted(self._finalized):
             if window in self._reported:
                 continue
-            if not self._is_in_time(window, self.begun.now()):
+            if not self._is_in_time(window, self.request_counts.now()):
                 self._reported.add(window)
                 continue
             if not lease.is_valid():
@@ -149,7 +151,7 @@
             self._reported.add(window)
 
     def _is_in_time(self, window: int, now: float) -> bool:
-        end = (window + 1) * self.begun.window_s
+        end = (window + 1) * self.request_counts.window_s
         return now < end + self.lateness_s
 
 
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/parts.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/parts.py
@@ -14,7 +14,6 @@
 from mimosamux_daemon.domain.names import DaemonId
 from mimosamux_daemon.gateway.admission import Admission, ConfirmationLimits
 from mimosamux_daemon.gateway.attempts import AttemptRecorder
-from mimosamux_daemon.gateway.begun_counts import BegunCounts
 from mimosamux_daemon.gateway.cap_loans import CapLoans
 from mimosamux_daemon.gateway.cap_record import CapRecord
 from mimosamux_daemon.gateway.caps import UsageCaps
@@ -47,6 +46,7 @@
 from mimosamux_daemon.gateway.outcome_log import OutcomeLog
 from mimosamux_daemon.gateway.peer_states import PeerStates
 from mimosamux_daemon.gateway.prefix_cache_index import PrefixCacheIndex
+from mimosamux_daemon.gateway.request_counts import RequestCounts
 from mimosamux_daemon.gateway.retry_budget import RetryBudget
 from mimosamux_daemon.gateway.rollout_clearing import RolloutClearing
 from mimosamux_daemon.gateway.rollout_duty import RolloutDuty
@@ -128,7 +128,7 @@
             self.limits,
             self.caps,
             shared_time,
-            self.begun,
+            self.request_counts,
             self.demand,
             self.chooser.prefix_index,
             self.duties,
@@ -323,7 +323,7 @@
             states=self.states,
             store_time=shared_time.store_now,
         )
-        self.begun = BegunCounts(
+        self.request_counts = RequestCounts(
             window_s=self.settings.usage_window_s, now=shared_time.now
         )
         self.demand = Demand(clock=self._clock)
@@ -400,7 +400,7 @@
             recorder=AttemptRecorder(
                 roster=self.roster,
                 chooser=self.chooser,
-                begun=self.begun,
+                request_counts=self.request_counts,
                 crash_detector=self.crash_detector,
                 limits=self.limits,
                 trials=self.trials,
@@ -428,7 +428,7 @@
         return Metering(
             table=self._platform.table,
             calls=calls,
-            begun=self.begun,
+            request_counts=self.request_counts,
             lateness_s=self.settings.usage_lateness_s,
             metrics=self.metrics,
             lose_lease=lambda lease: lease.end(),
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/begun_counts.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/request_counts.py
@@ -30,7 +30,7 @@
 
 
 @dataclass(kw_only=True, slots=True)
-class BegunCounts:
+class RequestCounts:
     """Request counts of this daemon and its peers, dead ones included."""
 
     window_s: float
@@ -46,7 +46,7 @@
         """Number of the current window."""
         return int(self.now() // self.window_s)
 
-    def note(self, account: AccountId) -> None:
+    def increment(self, account: AccountId) -> None:
         """Count a request that has just begun."""
         window = self.window
         counts = self._own.get(window)
--- a/tests/test_gateway_schedules.py
+++ b/tests/test_gateway_schedules.py
@@ -132,7 +132,9 @@
     def test_usage_reported_before_it_is_finalized(self):
         async def finalize(self, windows):
             for window in windows:
-                self._finalized[window] = dict(self.begun.total(window))
+                self._finalized[window] = dict(
+                    self.request_counts.total(window)
+                )
 
         schedule = [
             (0.0, 'cut_holder_from_peers', 0),
