--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/attempts.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/attempts.py
@@ -179,7 +179,7 @@
         job = self.job
         if not job.has_begun and job.account is not None:
             job.has_begun = True
-            self.recorder.begun.note(job.account.id)
+            self.recorder.request_counts.increment(job.account.id)
 
     def note_first_event(self) -> None:
         """Record the first event of a stream: the prompt is prefilled.
@@ -247,7 +247,7 @@
 
     roster: Roster
     chooser: Chooser
-    begun: RequestCounts
+    request_counts: RequestCounts
     crash_detector: CrashDetector
     limits: EndpointLimits
     trials: TrialTallies
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/caps.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/caps.py
@@ -289,7 +289,7 @@
     @property
     def ack_received(self) -> anyio.Event:
         """Set, and replaced by a new one, when a peer acknowledges more."""
-        return self._states.acked
+        return self._states.confirmed
 
     def describe(self, account: AccountEntry) -> str:
         """Return the figures behind an account's last decision."""
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/endpoint_limits.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/endpoint_limits.py
@@ -31,10 +31,10 @@
 
 MIN_SHARE_PER_S = 1.0
 """Minimum share of a daemon, in requests per second, if several have one."""
-LEAST_PER_S = 0.25
+MIN_PER_S = 0.25
 """Minimum rate, at which an endpoint that accepts nothing, or almost nothing,
 is probed for a change; well above one request per rotation."""
-TURN_S = 10.0
+ROTATION_S = 10.0
 """Time after which the shares of an endpoint move to other daemons."""
 REASSIGN_S = 0.25
 """Interval at which shares are reassigned."""
@@ -45,12 +45,12 @@
 
 
 @dataclass(kw_only=True, slots=True)
-class NamedLimit:
+class ReportedLimit:
     """The limit that an endpoint last reported, as far as is known."""
 
     per_s: float | None
     """Requests per second from all daemons, None: unlimited."""
-    said_ms: int
+    reported_ms: int
     """Time of the report, in ms of the store's clock."""
     received_at: float
     """Time at which this daemon learned of it, on the steady clock."""
@@ -76,7 +76,7 @@
     states: PeerStates
     shared_time: SharedTime
     clock: Callable[[], float]
-    by_id: dict[EndpointId, NamedLimit] = field(default_factory=dict)
+    by_id: dict[EndpointId, ReportedLimit] = field(default_factory=dict)
     _unreadable: set[EndpointId] = field(default_factory=set)
     """Endpoints whose unreadable limit was logged."""
     _assignments: dict[EndpointId, _Assignment] = field(default_factory=dict)
@@ -107,9 +107,9 @@
         ):
             return
         now = self.clock()
-        limit = NamedLimit(
-            per_s=per_s if per_s is None else max(per_s, LEAST_PER_S),
-            said_ms=self.shared_time.to_store_ms(now) or 0,
+        limit = ReportedLimit(
+            per_s=per_s if per_s is None else max(per_s, MIN_PER_S),
+            reported_ms=self.shared_time.to_store_ms(now) or 0,
             received_at=now,
             is_own=True,
         )
@@ -136,7 +136,7 @@
                 EndpointLimit(
                     endpoint=id_,
                     per_s=limit.per_s or 0.0,
-                    said_ms=limit.said_ms,
+                    said_ms=limit.reported_ms,
                     incarnation=record.incarnation,
                 )
             )
@@ -151,14 +151,14 @@
                 id_, reported.incarnation
             ):
                 continue
-            if known is not None and reported.said_ms <= known.said_ms:
+            if known is not None and reported.said_ms <= known.reported_ms:
                 continue
             if not 0 <= reported.per_s < math.inf:
                 self._note_unreadable(id_, str(reported.per_s), peer.place.id)
                 continue
-            limit = NamedLimit(
+            limit = ReportedLimit(
                 per_s=reported.per_s or None,
-                said_ms=reported.said_ms,
+                reported_ms=reported.said_ms,
                 received_at=self.clock(),
                 is_own=False,
             )
@@ -189,7 +189,7 @@
             )
 
     def _store(
-        self, record: EndpointRecord, limit: NamedLimit, source: str
+        self, record: EndpointRecord, limit: ReportedLimit, source: str
     ) -> None:
         known = self.by_id.get(record.id)
         before = None if known is None else known.per_s
@@ -222,7 +222,7 @@
     def _assign_share(
         self,
         record: EndpointRecord,
-        limit: NamedLimit,
+        limit: ReportedLimit,
         ready: tuple[DaemonId, ...],
     ) -> None:
         if limit.per_s is None:
@@ -230,10 +230,10 @@
             return
         now = self.clock()
         if record.share is None:
-            record.share = RateShare(filled_at=now)
+            record.share = RateShare(refilled_at=now)
         share = record.share
         share.limit_per_s = limit.per_s
-        share.change(self._own_share(record.id, limit.per_s, ready), now)
+        share.set_rate(self._own_share(record.id, limit.per_s, ready), now)
 
     def _own_share(
         self, id_: EndpointId, per_s: float, ready: tuple[DaemonId, ...]
@@ -242,7 +242,7 @@
         count = min(len(ready), max(1, math.ceil(per_s / MIN_SHARE_PER_S)))
         store_now = self.shared_time.store_now() or 0.0
         assignment = _Assignment(
-            ready=ready, count=count, rotation=int(store_now / TURN_S)
+            ready=ready, count=count, rotation=int(store_now / ROTATION_S)
         )
         if self._assignments.get(id_) != assignment:
             selected = rank(ready, f'{id_} {assignment.rotation}')[:count]
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/endpoint_record.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/endpoint_record.py
@@ -100,11 +100,11 @@
         """Whether its pause and rate limit allow this daemon a request now."""
         if now < self.paused_until:
             return False
-        return self.share is None or self.share.has_room(now)
+        return self.share is None or self.share.has_token(now)
 
     def opens_in_s(self, now: float) -> float:
         """Return the time until its pause and rate limit allow a request."""
-        wait_s = 0.0 if self.share is None else self.share.opens_in_s(now)
+        wait_s = 0.0 if self.share is None else self.share.available_in_s(now)
         return max(self.paused_until - now, wait_s, 0.0)
 
     @contextmanager
--- a/tests/test_gateway_rate_shares.py
+++ b/tests/test_gateway_rate_shares.py
@@ -6,8 +6,8 @@
 from mimosamux_daemon.control.members import MemberState
 from mimosamux_daemon.domain.gateway import ListedEndpoint
 from mimosamux_daemon.gateway.endpoint_limits import (
-    LEAST_PER_S,
-    TURN_S,
+    MIN_PER_S,
+    ROTATION_S,
     EndpointLimits,
 )
 from mimosamux_daemon.gateway.endpoint_record import EndpointRecord
@@ -19,22 +19,22 @@
 
 class TestShares(unittest.TestCase):
     def test_share_fills_up_to_what_half_a_second_brings(self):
-        share = RateShare(per_s=6.0, filled_at=0.0)
-        self.assertFalse(share.has_room(0.1))
+        share = RateShare(per_s=6.0, refilled_at=0.0)
+        self.assertFalse(share.has_token(0.1))
         sent = 0
-        while share.has_room(100.0):
+        while share.has_token(100.0):
             share.take(100.0)
             sent += 1
         self.assertEqual(sent, 3)
-        self.assertAlmostEqual(share.opens_in_s(100.0), 1 / 6)
+        self.assertAlmostEqual(share.available_in_s(100.0), 1 / 6)
 
     def test_share_that_passes_on_begins_with_nothing(self):
-        share = RateShare(per_s=1.0, filled_at=0.0)
-        share.change(0.0, 10.0)
-        self.assertFalse(share.has_room(20.0))
-        share.change(1.0, 20.0)
-        self.assertFalse(share.has_room(20.5))
-        self.assertTrue(share.has_room(21.0))
+        share = RateShare(per_s=1.0, refilled_at=0.0)
+        share.set_rate(0.0, 10.0)
+        self.assertFalse(share.has_token(20.0))
+        share.set_rate(1.0, 20.0)
+        self.assertFalse(share.has_token(20.5))
+        self.assertTrue(share.has_token(21.0))
 
 
 class FakePlace:
@@ -130,7 +130,8 @@
         owners = set()
         for turn in range(40):
             limits = (
-                make_limits(number, 9, turn * TURN_S) for number in range(9)
+                make_limits(number, 9, turn * ROTATION_S)
+                for number in range(9)
             )
             shares = [hear(each, 0.5).per_s for each in limits]
             owners.add(shares.index(max(shares)))
@@ -150,8 +151,8 @@
         self.assertEqual(before.per_s, 2.0)
 
     def test_endpoint_that_takes_nothing_is_asked_now_and_then(self):
-        self.assertEqual(hear(make_limits(), 0.0).per_s, LEAST_PER_S)
-        self.assertGreater(LEAST_PER_S * TURN_S, 2)
+        self.assertEqual(hear(make_limits(), 0.0).per_s, MIN_PER_S)
+        self.assertGreater(MIN_PER_S * ROTATION_S, 2)
 
     def test_answer_to_an_earlier_request_lifts_no_limit(self):
         limits = make_limits(store_now=5.0)
