--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/acknowledgements.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/acknowledgements.py
@@ -20,7 +20,7 @@
 class _RelayAck:
     """Last acknowledgement by a relay of another group, for that group."""
 
-    ack: GroupHeard
+    heard: GroupHeard
     at: float
 
 
@@ -49,7 +49,7 @@
         """Return acknowledgements of other groups, none older than an age."""
         oldest = self._clock() - age_s
         return [
-            each.ack
+            each.heard
             for each in self._ack_by_relay.values()
             if each.at > oldest
         ]
@@ -69,7 +69,7 @@
             if peer is not None
             and self._relays.neighbour(peer.place.id).acked_batch
         ]
-        is_group_member = id_ in members
+        of_group = id_ in members
         heard = [
             DigestHeard(
                 lifetime=peer.incarnation,
@@ -77,7 +77,7 @@
             )
             for peer in self._by_id.values()
             if id_ in (peer.place.id, peer.via)
-            or (is_group_member and peer.place.id in members)
+            or (of_group and peer.place.id in members)
         ]
         incarnations = [peer.incarnation for peer in represented]
         return GroupHeard(
@@ -87,14 +87,14 @@
     def _acked_by_all(
         self, origin: PeerState, members: list[PeerState]
     ) -> int:
-        acked = [
+        taken = [
             self._relays.neighbour(member.place.id).acked_sequence(
                 origin.incarnation
             )
             for member in members
             if member is not origin
         ]
-        return min([origin.sequence, *acked])
+        return min([origin.sequence, *taken])
 
     def take(
         self, sender: DaemonId, neighbour: Neighbour, batch: StateBatch
@@ -121,7 +121,7 @@
                     self.record_ack(each, sequence)
         if batch.confirmed and not batch.is_member:
             self._ack_by_relay[sender] = _RelayAck(
-                ack=batch.confirmed[0], at=self._clock()
+                heard=batch.confirmed[0], at=self._clock()
             )
         self.notify_waiters()
 
