--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/attempts.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/attempts.py
@@ -119,13 +119,13 @@
         if not (isinstance(answer, TurnedDown) and answer.is_other_endpoint):
             self.recorder.crash_detector.note_answer(record)
         if not isinstance(answer, TurnedDown):
-            roster.note_taken(record, self.sent_at)
+            roster.note_acceptance(record, self.sent_at)
         elif answer.is_full and not self.job.is_resumed:
             # A full endpoint also rejects a resumed stream whose copy it has
             # lost; that says nothing about its load.
-            roster.note_refusal(record, self.sent_at)
+            roster.note_rejection(record, self.sent_at)
         if answer.retry_after_s is not None:
-            roster.note_rest(record, answer.retry_after_s)
+            roster.note_requested_pause(record, answer.retry_after_s)
         self.recorder.limits.note_answer(
             record,
             answer.limit_per_s,
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/choice.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/choice.py
@@ -140,7 +140,7 @@
         """
         records = [
             record
-            for record in self._roster.open_to(service)
+            for record in self._roster.accepting(service)
             if record.id not in excluding
         ]
         return self._rollouts.filter_endpoints(
@@ -266,7 +266,8 @@
     """Return the healthy endpoints, or all of them if none is healthy.
 
     An endpoint is left out if connections to it fail, if it has just turned
-    requests down, or if its failure share exceeds the best one by `EXCESS`.
+    requests down, or if its failure share exceeds the best one by
+    `MAX_EXCESS_FAILURE_RATE`.
     """
     available = [each for each in records if not each.is_deprioritised(now)]
     available = available or records
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/forwarding.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/forwarding.py
@@ -36,7 +36,7 @@
 from mimosamux_daemon.gateway.demand import Demand
 from mimosamux_daemon.gateway.evacuation import Evacuation
 from mimosamux_daemon.gateway.jobs import Job
-from mimosamux_daemon.gateway.list_age import ListAge
+from mimosamux_daemon.gateway.list_freshness import ListFreshness
 from mimosamux_daemon.gateway.load_shedding import LoadShedding
 from mimosamux_daemon.gateway.loop_lag import LoopLag
 from mimosamux_daemon.gateway.outcome_log import OutcomeLog
@@ -76,7 +76,7 @@
     admission: Admission
     roster: Roster
     chooser: Chooser
-    list_age: ListAge
+    list_freshness: ListFreshness
     calls: EndpointCalls
     budget: RetryBudget
     recorder: AttemptRecorder
@@ -165,7 +165,7 @@
         """Send a job to one endpoint after another until one settles it."""
         failed_connects = 0
         while True:
-            await self.list_age.wait_until_new()
+            await self.list_freshness.wait_until_fresh()
             choice = self._choose(job)
             if choice is None or failed_connects >= MAX_FAILED_CONNECTS:
                 return self._give_up_unplaced(job)
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/list_age.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/list_freshness.py
@@ -21,14 +21,14 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class ListAge:
+class ListFreshness:
     """Holds requests while the endpoint list is stale and can be read."""
 
     reader: FeedReader[ListedEndpoint]
     drain_s: float
     """Time that an endpoint keeps serving after it is listed as leaving."""
 
-    async def wait_until_new(self) -> None:
+    async def wait_until_fresh(self) -> None:
         """Wait until the list is fresh enough, or cannot be read."""
         reader, max_age_s = self.reader, MAX_AGE_SHARE * self.drain_s
         if reader.age_s <= max_age_s or not reader.can_refresh:
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/parts.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/parts.py
@@ -37,7 +37,7 @@
 from mimosamux_daemon.gateway.feed_reader import FeedReader
 from mimosamux_daemon.gateway.forwarding import Forwarder
 from mimosamux_daemon.gateway.leaving_exchange import LeavingExchange
-from mimosamux_daemon.gateway.list_age import ListAge
+from mimosamux_daemon.gateway.list_freshness import ListFreshness
 from mimosamux_daemon.gateway.load_shedding import WINDOW_S, LoadShedding
 from mimosamux_daemon.gateway.loop_lag import LoopLag
 from mimosamux_daemon.gateway.metering import Metering
@@ -387,7 +387,7 @@
             admission=self.admission,
             roster=self.roster,
             chooser=self.chooser,
-            list_age=ListAge(
+            list_freshness=ListFreshness(
                 reader=self.endpoint_reader,
                 drain_s=self.settings.drain_s,
             ),
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/roster.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/roster.py
@@ -156,7 +156,7 @@
             if record.listed.service == service and record.accepts_requests
         ]
 
-    def open_to(self, service: ServiceName) -> list[EndpointRecord]:
+    def accepting(self, service: ServiceName) -> list[EndpointRecord]:
         """Return those that accept requests from this daemon now."""
         now = self._clock()
         return [
@@ -189,7 +189,7 @@
         record.failed_connects += 1
         record.unreachable_until = self._clock() + pause
 
-    def note_refusal(self, record: EndpointRecord, sent_at: float) -> None:
+    def note_rejection(self, record: EndpointRecord, sent_at: float) -> None:
         """Deprioritise an endpoint that rejected a request, with backoff.
 
         It has few requests in flight, so it would seem the least loaded.
@@ -202,13 +202,15 @@
         record.rejected_at = now
         record.deprioritised_until = now + pause
 
-    def note_taken(self, record: EndpointRecord, sent_at: float) -> None:
+    def note_acceptance(self, record: EndpointRecord, sent_at: float) -> None:
         """Reset the backoff if a request sent since was accepted."""
         if sent_at >= record.rejected_at:
             record.rejections = 0
             record.deprioritised_until = -math.inf
 
-    def note_rest(self, record: EndpointRecord, pause_s: float) -> None:
+    def note_requested_pause(
+        self, record: EndpointRecord, pause_s: float
+    ) -> None:
         """Send an endpoint no requests for the time that it asked for."""
         until = self._clock() + min(pause_s, MAX_REQUESTED_PAUSE_S)
         if until > record.paused_until:
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/stream_moves.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/stream_moves.py
@@ -125,7 +125,7 @@
         now = self.clock()
         records = [
             record
-            for record in self.roster.open_to(stream.service.name)
+            for record in self.roster.accepting(stream.service.name)
             if record.id != stream.record.id and not record.is_unreachable(now)
         ]
         records = self.rollouts.filter_endpoints(
--- a/tests/test_gateway_endpoint_words.py
+++ b/tests/test_gateway_endpoint_words.py
@@ -132,7 +132,7 @@
         record = EndpointRecord(listed=listed, listed_at=0.0)
         for _ in range(3000):
             roster.note_connect(record, failed=True)
-            roster.note_refusal(record, 0.0)
+            roster.note_rejection(record, 0.0)
         self.assertEqual(record.unreachable_until, MAX_CONNECT_BACKOFF_S)
         self.assertEqual(record.deprioritised_until, MAX_REJECTION_BACKOFF_S)
 
