--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/caps.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/caps.py
@@ -289,7 +289,7 @@
     @property
     def ack_received(self) -> anyio.Event:
         """Set, and replaced by a new one, when a peer acknowledges more."""
-        return self._states.confirmed
+        return self._states.ack_received
 
     def describe(self, account: AccountEntry) -> str:
         """Return the figures behind an account's last decision."""
@@ -297,7 +297,7 @@
         return (
             f'used {self._used(state):.0f} of {state.limit:.0f}, '
             f'unconfirmed here {state.unacked.total:.0f}, '
-            f'daemons {self._reachable()} of {self._states.expected()}'
+            f'daemons {self._reachable()} of {self._states.max_serving()}'
         )
 
     def refund(self, account: AccountEntry, cost: float) -> None:
@@ -459,7 +459,7 @@
         nothing but delay, so the result is 0.
         """
         fresh = self._states.fresh()
-        if 1 + len(fresh) >= self._states.expected():
+        if 1 + len(fresh) >= self._states.max_serving():
             return 0.0
         known = (
             state.window_total_by_peer.get(peer.place.id, 0) for peer in fresh
@@ -477,7 +477,7 @@
         is left to them.
         """
         reachable = self._reachable()
-        expected = max(self._states.expected(), reachable)
+        expected = max(self._states.max_serving(), reachable)
         amount = cap.rate_per_s * self._window_s + cap.burst
         amount *= 1 + TOLERANCE_USED * self._rules.overage
         amount += TOLERANCE_USED * self._rules.tolerance
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/daemon.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/daemon.py
@@ -167,7 +167,7 @@
             await self.parts.configuration.changed.wait()
         if self.parts.states.state is MemberState.JOINING:
             self.parts.states.state = MemberState.READY
-            await self.parts.states.tell()
+            await self.parts.states.send_digest()
         log.info('ready', daemon=self.settings.daemon)
         self.started.set()
 
@@ -191,7 +191,7 @@
         self._duties_scope.cancel()
         await GracefulStop(
             server=self._server,
-            notify_peers=self.parts.states.tell,
+            notify_peers=self.parts.states.send_digest,
             stop_accepting=self._entry_scope.cancel,
             grace_s=self.settings.stop_grace_s,
         ).run()
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/forwarding.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/forwarding.py
@@ -36,7 +36,7 @@
 from mimosamux_daemon.gateway.demand import Demand
 from mimosamux_daemon.gateway.evacuation import Evacuation
 from mimosamux_daemon.gateway.jobs import Job
-from mimosamux_daemon.gateway.list_freshness import ListFreshness
+from mimosamux_daemon.gateway.list_age import ListFreshness
 from mimosamux_daemon.gateway.load_shedding import LoadShedding
 from mimosamux_daemon.gateway.loop_lag import LoopLag
 from mimosamux_daemon.gateway.outcome_log import OutcomeLog
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/leaving_exchange.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/leaving_exchange.py
@@ -49,16 +49,16 @@
             self.announce(record)
 
     async def _take(self, sender: DaemonId, message: EndpointsLeave) -> None:
-        is_news = False
+        is_new = False
         announced = zip(message.endpoints, message.leave_in_ms, strict=False)
         for index, (id_, left_ms) in enumerate(announced):
-            is_news |= self.roster.note_leaving(
+            is_new |= self.roster.note_leaving(
                 EndpointId(id_),
                 left_s=None if left_ms < 0 else left_ms / MS_PER_S,
                 source=sender,
                 incarnation=_number_at(message.incarnations, index),
             )
-        if is_news and self.states.forwards_messages:
+        if is_new and self.states.forwards_messages:
             self.states.queue(message)
 
 
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/list_freshness.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/list_age.py
@@ -17,7 +17,8 @@
 read again before a request is sent by it."""
 READ_TIMEOUT_S = 0.3
 """Time-out of that read. If the table does not answer in time, it counts as
-unavailable, and the last known list is used."""
+unavailable, and the last known list is used. A request waits at most twice as
+long, since it may first wait for a read that another one began."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/loop_lag.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/loop_lag.py
@@ -12,8 +12,8 @@
 
 PERIOD_S = 0.1
 MIN_LAG_S = 0.2
-"""Lag that is ignored below this: timers are a few ms late on an idle machine,
-and a request waits for only a part of the lag."""
+"""A smaller lag is ignored: timers are a few ms late on an idle machine, and a
+request waits for only a part of the lag."""
 
 
 @dataclass(kw_only=True, slots=True)
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/parts.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/parts.py
@@ -37,7 +37,7 @@
 from mimosamux_daemon.gateway.feed_reader import FeedReader
 from mimosamux_daemon.gateway.forwarding import Forwarder
 from mimosamux_daemon.gateway.leaving_exchange import LeavingExchange
-from mimosamux_daemon.gateway.list_freshness import ListFreshness
+from mimosamux_daemon.gateway.list_age import ListFreshness
 from mimosamux_daemon.gateway.load_shedding import WINDOW_S, LoadShedding
 from mimosamux_daemon.gateway.loop_lag import LoopLag
 from mimosamux_daemon.gateway.metering import Metering
@@ -394,7 +394,7 @@
             calls=self._platform.calls,
             budget=RetryBudget(
                 limits=self.settings.retries,
-                daemons=self.states.expected,
+                daemons=self.states.max_serving,
                 clock=self._clock,
             ),
             recorder=AttemptRecorder(
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/peer_states.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/peer_states.py
@@ -170,7 +170,7 @@
         return self._daemon_count <= LARGEST_GROUP
 
     @property
-    def confirmed(self) -> anyio.Event:
+    def ack_received(self) -> anyio.Event:
         """Set, and replaced by a new one, when a peer acknowledges more."""
         return self._acknowledgements.changed
 
@@ -248,8 +248,8 @@
         oldest = min((peer.heard_at for peer in self.fresh()), default=None)
         return 0.0 if oldest is None else self._clock() - oldest
 
-    def expected(self) -> int:
-        """Return how many daemons may be serving, this one included.
+    def max_serving(self) -> int:
+        """Return the number of daemons that may serve callers, with this one.
 
         Silent peers count until they are removed: they may be partitioned
         from this daemon and still serve callers.
@@ -280,7 +280,7 @@
         self._queue.append(message)
         self._queued.set()
 
-    async def tell(self) -> None:
+    async def send_digest(self) -> None:
         """Send a digest of this daemon now."""
         await self._send_digests(is_digest_due=True)
 
@@ -402,7 +402,7 @@
         if batch.is_member:
             self._relays.note_member(neighbour)
         for data in batch.digests:
-            self._take_data(data, sender)
+            self._take_encoded(data, sender)
         self._acknowledgements.take(sender, neighbour, batch)
         if is_new:
             await self._send_known_daemons(sender)
@@ -425,7 +425,7 @@
         if is_new:
             await self._send_known_daemons(sender)
 
-    def _take_data(self, data: bytes, via: DaemonId) -> None:
+    def _take_encoded(self, data: bytes, via: DaemonId) -> None:
         found = decode(data)
         digest = found.message if isinstance(found, WireEnvelope) else None
         if not isinstance(digest, StateDigest) or not digest.address:
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/roster.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/roster.py
@@ -192,7 +192,7 @@
     def note_rejection(self, record: EndpointRecord, sent_at: float) -> None:
         """Deprioritise an endpoint that rejected a request, with backoff.
 
-        It has few requests in flight, so it would seem the least loaded.
+        With nothing in flight, it would otherwise seem the least loaded.
         """
         if sent_at < record.rejected_at:
             return
@@ -324,7 +324,7 @@
     def _mark_unreadable(
         self, record: EndpointRecord | None, item: Unreadable
     ) -> None:
-        """Use an endpoint no further until its entry can be parsed again."""
+        """Send an endpoint no requests until its entry can be parsed again."""
         if record is None or record.is_unreadable:
             return
         record.is_unreadable = True
@@ -335,7 +335,7 @@
     def _handle_missing(self, record: EndpointRecord) -> None:
         """Mark an endpoint that is missing from the list as gone.
 
-        Not so during or just after an outage of the platform's store, when
+        Not during or just after an outage of the platform's store, when
         live endpoints cannot renew their entries: all endpoints of a service
         could vanish at once, and every request would be refused.
         """
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/table_sharing.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/table_sharing.py
@@ -75,7 +75,7 @@
         if self.states.is_flat or as_of_ms is None:
             return
         rows = view.rows if self.includes_rows else ()
-        news = TableNews(
+        update = TableNews(
             table=self.table,
             version=view.version,
             changed=view.changed,
@@ -92,25 +92,25 @@
             as_of_ms=as_of_ms,
             may_have_lapsed=self.health.has_local_outage(),
         )
-        if self._check_newer(news):
-            self.states.queue(news)
+        if self._note_if_newer(update):
+            self.states.queue(update)
 
-    def receive(self, news: TableNews) -> TableView | None:
+    def receive(self, update: TableNews) -> TableView | None:
         """Return the view in an update, and forward it if it is new.
 
         Return None if its age is unknown or it is about another table.
         """
-        as_of = self.shared_time.from_store_ms(news.as_of_ms)
-        if as_of is None or news.table != self.table:
+        as_of = self.shared_time.from_store_ms(update.as_of_ms)
+        if as_of is None or update.table != self.table:
             return None
-        if self._check_newer(news) and self.states.acts_as_relay:
-            self.states.queue(news)
-        if news.may_have_lapsed:
+        if self._note_if_newer(update) and self.states.acts_as_relay:
+            self.states.queue(update)
+        if update.may_have_lapsed:
             self.health.note_peer_outage()
         return TableView(
-            version=news.version,
-            changed=news.changed,
-            preceding_change=news.behind,
+            version=update.version,
+            changed=update.changed,
+            preceding_change=update.behind,
             as_of=min(as_of, self.clock()),
             rows=tuple(
                 FeedRow(
@@ -119,7 +119,7 @@
                     version=row.version,
                     is_deleted=row.is_deleted,
                 )
-                for row in news.rows
+                for row in update.rows
             ),
         )
 
@@ -130,14 +130,17 @@
     def take(self, peer: PeerState, digest: StateDigest) -> None:
         """Do nothing: `PeerStates` stores the flag in the peer's state."""
 
-    def _check_newer(self, news: TableNews) -> bool:
+    def _note_if_newer(self, update: TableNews) -> bool:
+        """Return whether to forward an update, and record that it was."""
         is_newer = (
-            news.as_of_ms >= self._forwarded_ms + FORWARD_INTERVAL_MS
-            or news.changed > self._forwarded_change
+            update.as_of_ms >= self._forwarded_ms + FORWARD_INTERVAL_MS
+            or update.changed > self._forwarded_change
         )
         if is_newer:
-            self._forwarded_ms = max(self._forwarded_ms, news.as_of_ms)
-            self._forwarded_change = max(self._forwarded_change, news.changed)
+            self._forwarded_ms = max(self._forwarded_ms, update.as_of_ms)
+            self._forwarded_change = max(
+                self._forwarded_change, update.changed
+            )
         return is_newer
 
     def _rank(self, id_: DaemonId) -> int:
