--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/acknowledgements.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/acknowledgements.py
@@ -61,7 +61,8 @@
     def build_for(self, id_: DaemonId, members: list[DaemonId]) -> GroupHeard:
         """Build the acknowledgement by this daemon and its members.
 
-        It covers only the daemons whose digests the receiver `id_` forwards.
+        It covers the digests of the receiver `id_`, of the daemons whose
+        digests it forwards and, if it is a member, of all members.
         """
         represented = [
             peer
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/cap_record.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/cap_record.py
@@ -69,7 +69,7 @@
         await self.table.commit([], [Write(key=ROW_KEY, value=value)])
 
     def _is_writer(self) -> bool:
-        """Whether this daemon has the lowest id of all in touch."""
+        """Whether this daemon writes: it has the lowest id of all in touch."""
         ids = [peer.place.id for peer in self.states.fresh()]
         return self.states.place.id <= min(ids, default='~')
 
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/duties.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/duties.py
@@ -86,7 +86,7 @@
             fencing_is_honoured=lambda: checks_fencing,
             may_try=self._may_acquire,
             is_known_ended=self._is_released,
-            is_cut_off=self._is_cut_off,
+            is_cut_off=self._peers_reach_table,
             clock=clock,
         )
 
@@ -126,7 +126,7 @@
             for peer in self._states.fresh()
         )
 
-    def _is_cut_off(self) -> bool:
+    def _peers_reach_table(self) -> bool:
         """Whether a peer reports that the table answers it."""
         return any(peer.reads_tables for peer in self._states.fresh())
 
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/request_counts.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/request_counts.py
@@ -22,7 +22,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class _Incarnation:
+class _DaemonIncarnation:
     """One incarnation of a daemon. Each one counts from zero."""
 
     daemon: DaemonId
@@ -37,8 +37,8 @@
     now: Callable[[], float]
     """Return the time of day that the daemons agree on."""
     _own: dict[int, CountsByAccount] = field(default_factory=dict)
-    _by_incarnation: dict[_Incarnation, dict[int, CountsByAccount]] = field(
-        default_factory=dict
+    _by_incarnation: dict[_DaemonIncarnation, dict[int, CountsByAccount]] = (
+        field(default_factory=dict)
     )
 
     @property
@@ -75,7 +75,7 @@
 
     def take(self, peer: PeerState, digest: StateDigest) -> None:
         """Replace a peer's counts by those in its new digest."""
-        process = _Incarnation(
+        process = _DaemonIncarnation(
             daemon=peer.place.id, incarnation=peer.incarnation
         )
         windows = self._by_incarnation.setdefault(process, {})
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/shared_time.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/shared_time.py
@@ -15,7 +15,7 @@
 from mimosamux_daemon.domain.names import DaemonId
 from mimosamux_daemon.gateway.peer_states import PeerState
 
-MAX_FASTEST_S = 0.05
+MIN_TRANSIT_BOUND_S = 0.05
 """Upper bound on the transit time of the store's fastest answer."""
 MS_PER_S = 1000
 RETAIN_S = 600.0
@@ -50,7 +50,7 @@
         lead = store_s - self._clock()
         if self._store_lead_s is None or lead > self._store_lead_s:
             self._store_lead_s = lead
-        return store_s - self._store_lead_s - MAX_FASTEST_S
+        return store_s - self._store_lead_s - MIN_TRANSIT_BOUND_S
 
     def now(self) -> float:
         """Return the agreed time of day, in seconds since 1970."""
@@ -85,7 +85,7 @@
         """
         if self._store_lead_s is None:
             return None
-        return store_ms / MS_PER_S - self._store_lead_s - MAX_FASTEST_S
+        return store_ms / MS_PER_S - self._store_lead_s - MIN_TRANSIT_BOUND_S
 
     def write(self, digest: StateDigest) -> None:
         """Add the offset of the local time of day from the store's clock."""
