--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/rollout_duty.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/rollout_duty.py
@@ -43,8 +43,8 @@
 other versions are cleared. The roll-out can still be reverted in it."""
 CONFIRMATION_TIMEOUT_S = 2.0
 """Longest wait for the other daemons to report that a step is in force."""
-MAX_UTILIZATION = 0.7
-"""Highest planned utilization of an endpoint once its version gets every
+MAX_UTILISATION = 0.7
+"""Highest planned utilisation of an endpoint once its version gets every
 request."""
 DECISION_MARGIN_S = 0.5
 """Time before an order's deadline at which a trial without a verdict is
@@ -214,7 +214,7 @@
         new = len(self._endpoints_of_new(rollout))
         others = len(self._endpoints_of_others(rollout))
         busy = self.demand.peak_offered_load(rollout.order.service)
-        return new >= max(1, min(others, math.ceil(busy / MAX_UTILIZATION)))
+        return new >= max(1, min(others, math.ceil(busy / MAX_UTILISATION)))
 
     def _endpoints_of_new(self, rollout: Rollout) -> list[EndpointRecord]:
         return [
@@ -283,6 +283,7 @@
     async def _advance_to(
         self, rollout: Rollout, stage: RolloutStage, reason: str
     ) -> None:
+        """Store and announce the next step of a roll-out."""
         await self._write(rollout.advance(stage, reason))
 
     async def _write(self, rollout: Rollout) -> None:
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/trial_judge.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/trial_judge.py
@@ -134,7 +134,7 @@
         self._final_elapsed = final_elapsed
         self._last_tallies: TalliesBySource = {}
         self._cusums: dict[TestKey, float] = {}
-        self._recent: deque[Groups] = deque(maxlen=RECENT_EVALUATIONS)
+        self._recent_groups: deque[Groups] = deque(maxlen=RECENT_EVALUATIONS)
 
     def judge(self, evidence: Evidence) -> Judgement:
         """Return the judgement that the answers so far support."""
@@ -161,7 +161,7 @@
         self._last_tallies = {
             source: tally.copy() for source, tally in by_source.items()
         }
-        self._recent.append(new_groups)
+        self._recent_groups.append(new_groups)
         for route, group in new_groups.items():
             endpoints = groups[route].by_endpoint
             for name, measure in MEASURES.items():
@@ -180,7 +180,7 @@
     ) -> float:
         """Return the control's recent rate of bad answers."""
         recent = Tally()
-        for groups in self._recent:
+        for groups in self._recent_groups:
             if route in groups:
                 recent.add(groups[route].control)
         overall_rate = overall_bad_rate(group.control, measure)
@@ -254,6 +254,7 @@
         )
 
     def _has_doubt(self, groups: 'Groups', limit: float) -> bool:
+        """Whether the CUSUM of any test reaches a limit."""
         return any(
             self._least_sum_leaving_out(route, name, group) >= limit
             for route, group in groups.items()
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/trial_tallies.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/trial_tallies.py
@@ -270,6 +270,7 @@
     def _find_own(
         self, service: ServiceName
     ) -> tuple[TrialCounts | None, Rollout | None]:
+        """Return this daemon's counts and the roll-out in progress."""
         if not self._own:
             return None, None
         return self._own.get(service), self.rollouts.current(service)
