--- a/packages/mimosamux-daemon/mimosamux_daemon/control/__init__.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/control/__init__.py
@@ -1,1 +1,1 @@
-"""What the daemons share: configuration, membership, planning."""
+"""Control plane of the daemons: configuration, membership, planning."""
--- a/packages/mimosamux-daemon/mimosamux_daemon/control/account_digests.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/control/account_digests.py
@@ -1,16 +1,16 @@
-"""What digests tell of the use by client accounts."""
+"""Usage by client accounts in the digests that daemons exchange."""
 
 from mimosamux_wire import AccountUse, FleetDigest
 
 from mimosamux_daemon.serving.fair_shares import FairShares, NewUse
 
-MOST_ACCOUNTS = 8
-"""Accounts in a digest: about 140 bytes. One that is left out asked for
-less than 8 others, and its use elsewhere is not missed much."""
+MAX_ACCOUNTS = 8
+"""Maximum accounts in a digest, about 140 bytes. An account that is left
+out asked for less than 8 others, so peers lose little without its usage."""
 
 
 def write_accounts(shares: FairShares) -> list[AccountUse]:
-    """Return the use since the last digest."""
+    """Return the usage since the last digest."""
     return [
         AccountUse(
             account=new.key,
@@ -18,12 +18,12 @@
             offered_tokens=int(new.offered),
             admitted_tokens=int(new.admitted),
         )
-        for new in shares.take_new(MOST_ACCOUNTS)
+        for new in shares.take_new(MAX_ACCOUNTS)
     ]
 
 
 def apply_accounts(shares: FairShares, digest: FleetDigest) -> None:
-    """Count the use that a peer tells of."""
+    """Add the usage that a peer reports in a digest."""
     for item in digest.accounts or ():
         shares.note_peer(
             NewUse(
--- a/packages/mimosamux-daemon/mimosamux_daemon/control/audit_trail.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/control/audit_trail.py
@@ -1,4 +1,4 @@
-"""Reads the audit trail from the platform's table."""
+"""Reads pages of the audit trail from the platform's table."""
 
 from dataclasses import dataclass
 
@@ -14,12 +14,17 @@
 
 SCAN_ROWS = 500
 MAX_SCANS = 20
-"""A search by name stops after so many scans and says where to go on."""
+"""Scans per page; a search by name that needs more returns the cursor at
+which to continue."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class AuditFilter:
-    """Which entries are wanted; times are wall time in seconds."""
+    """Selects audit entries.
+
+    `who` matches any part of an entry's `who`; `since` is wall-clock time
+    in seconds; `after` is the `next` cursor of the previous page.
+    """
 
     kind: AuditKind | None = None
     who: str | None = None
@@ -30,14 +35,17 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class AuditPage:
-    """Entries, oldest first; `next` leads to later ones, '' at the end."""
+    """Entries, oldest first, and the cursor of the next page.
+
+    `next` is empty on the last page.
+    """
 
     entries: tuple[AuditEntry, ...]
     next: str
 
 
 class AuditTrail:
-    """The trail of all daemons."""
+    """The audit trail that all daemons write."""
 
     def __init__(
         self, *, table: Table, metrics: Metrics | None = None
@@ -45,29 +53,29 @@
         self._table = table
         self._metrics = metrics
 
-    async def read(self, wanted: AuditFilter) -> AuditPage | Unavailable:
+    async def read(self, filter_: AuditFilter) -> AuditPage | Unavailable:
         """Return the next page of entries."""
-        cursor = wanted.after or f'{wanted.since:017.6f}'
-        found: list[AuditEntry] = []
+        cursor = filter_.after or f'{filter_.since:017.6f}'
+        matches: list[AuditEntry] = []
         for _ in range(MAX_SCANS):
-            entries = await self._scan(wanted, cursor)
+            entries = await self._scan(filter_, cursor)
             if isinstance(entries, Unavailable):
                 return entries
             if not entries:
-                return AuditPage(entries=tuple(found), next='')
+                return AuditPage(entries=tuple(matches), next='')
             for entry in entries:
                 cursor = _cursor_of(entry)
-                if wanted.who is None or wanted.who in entry.who:
-                    found.append(entry)
-                if len(found) == wanted.limit:
-                    return AuditPage(entries=tuple(found), next=cursor)
-        return AuditPage(entries=tuple(found), next=cursor)
+                if filter_.who is None or filter_.who in entry.who:
+                    matches.append(entry)
+                if len(matches) == filter_.limit:
+                    return AuditPage(entries=tuple(matches), next=cursor)
+        return AuditPage(entries=tuple(matches), next=cursor)
 
     async def _scan(
-        self, wanted: AuditFilter, cursor: str
+        self, filter_: AuditFilter, cursor: str
     ) -> list[AuditEntry] | Unavailable:
-        kinds = [wanted.kind] if wanted.kind else list(AuditKind)
-        limit = SCAN_ROWS if wanted.who else wanted.limit
+        kinds = [filter_.kind] if filter_.kind else list(AuditKind)
+        limit = SCAN_ROWS if filter_.who else filter_.limit
         entries: list[AuditEntry] = []
         for kind in kinds:
             prefix = f'{AUDIT_PREFIX}{kind}/'
@@ -80,7 +88,7 @@
                 labels = {'mechanism': 'audit', 'kind': 'read'}
                 self._metrics.table_rows.add(labels, len(rows))
             entries.extend(parse_entry(row.value) for row in rows)
-        # Keys of one kind sort by time and id; so do the kinds together.
+        # Keys within a kind sort by time and id; the merged kinds must too.
         return sorted(entries, key=_cursor_of)[:limit]
 
 
--- a/packages/mimosamux-daemon/mimosamux_daemon/control/backoff.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/control/backoff.py
@@ -1,4 +1,4 @@
-"""Offers that had no VM to give, and when to ask for them again."""
+"""Exponential backoff for VM offers whose orders were refused."""
 
 import random
 from dataclasses import dataclass
@@ -10,55 +10,56 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class BackoffPolicy:
-    """Times in seconds."""
+    """Waits in seconds; `jitter` is a fraction of the wait."""
 
-    first_s: float = 30.0
-    longest_s: float = 900.0
+    initial_s: float = 30.0
+    max_s: float = 900.0
     jitter: float = 0.2
 
 
 @dataclass(kw_only=True, slots=True)
-class _Refusals:
-    in_a_row: int
+class _Suspension:
+    consecutive_refusals: int
     until: float
 
 
 class Backoff:
-    """Waits twice as long after each refusal of the same offer."""
+    """Suspends a refused offer, twice as long after each refusal in a row."""
 
     def __init__(
         self, *, randomness: random.Random, policy: BackoffPolicy | None = None
     ) -> None:
-        self._randomness = randomness
+        self._rng = randomness
         self._policy = policy or BackoffPolicy()
-        self._refusals_by_offer: dict[Offer, _Refusals] = {}
+        self._suspension_by_offer: dict[Offer, _Suspension] = {}
 
     def note_refused(self, offer: Offer) -> None:
-        """Leave an offer alone for a while.
+        """Suspend an offer after a refused order.
 
-        Refusals of orders that were given together count as one.
+        A refusal while the offer is suspended is ignored, so that the
+        refusals of orders that were placed together count as one.
         """
         now = anyio.current_time()
-        known = self._refusals_by_offer.get(offer)
+        known = self._suspension_by_offer.get(offer)
         if known is not None and now < known.until:
             return
-        in_a_row = known.in_a_row + 1 if known else 1
-        wait = self._policy.first_s * 2.0 ** (in_a_row - 1)
-        wait = min(wait, self._policy.longest_s)
-        wait *= 1.0 + self._policy.jitter * self._randomness.random()
-        self._refusals_by_offer[offer] = _Refusals(
-            in_a_row=in_a_row, until=now + wait
+        consecutive_refusals = known.consecutive_refusals + 1 if known else 1
+        wait_s = self._policy.initial_s * 2.0 ** (consecutive_refusals - 1)
+        wait_s = min(wait_s, self._policy.max_s)
+        wait_s *= 1.0 + self._policy.jitter * self._rng.random()
+        self._suspension_by_offer[offer] = _Suspension(
+            consecutive_refusals=consecutive_refusals, until=now + wait_s
         )
 
     def note_started(self, offer: Offer) -> None:
-        """Forget the refusals of an offer that gave a VM."""
-        self._refusals_by_offer.pop(offer, None)
+        """Reset the backoff of an offer that provided a VM."""
+        self._suspension_by_offer.pop(offer, None)
 
-    def current(self) -> frozenset[Offer]:
-        """Return the offers that are left alone now."""
+    def suspended(self) -> frozenset[Offer]:
+        """Return the offers that must not be ordered from yet."""
         now = anyio.current_time()
         return frozenset(
             offer
-            for offer, refusals in self._refusals_by_offer.items()
-            if now < refusals.until
+            for offer, suspension in self._suspension_by_offer.items()
+            if now < suspension.until
         )
--- a/packages/mimosamux-daemon/mimosamux_daemon/control/circuit_breaker.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/control/circuit_breaker.py
@@ -1,4 +1,4 @@
-"""Limits of calls to the store, a retry allowance and a breaker."""
+"""Circuit breaker and retry budget for calls to the platform's store."""
 
 import math
 import random
@@ -10,109 +10,126 @@
 
 log = get_log('store_guard')
 
-INVITED_S = 0.25
-"""Least time from one probe to one that somebody invites."""
+MIN_EARLY_PROBE_GAP_S = 0.25
+"""Minimum time between a probe and the next early one, in seconds."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class GuardLimits:
-    """Limits of one guard; times are seconds."""
+    """Limits for calls to the store; times are in seconds."""
 
     call_timeout_s: float = 1.5
-    """Longest that one try may take."""
+    """Time-out of one attempt at a table call."""
     object_timeout_s: float = 5.0
-    """The same for objects, which are larger."""
-    tries: int = 3
-    """Tries of one call, the first included."""
-    pause_s: float = 0.05
-    """Mean pause before the second try; it doubles with each."""
+    """Time-out of one attempt at an object call; objects are larger."""
+    max_attempts: int = 3
+    """Attempts per call, including the first."""
+    first_backoff_s: float = 0.05
+    """Mean backoff before the second attempt; doubles with each attempt."""
     retry_share: float = 0.1
-    """Retries that each call earns for later ones."""
-    retries_kept: float = 20.0
-    """Most retries that can be saved up."""
+    """Retries that each call adds to the retry budget."""
+    max_saved_retries: float = 20.0
+    """Capacity of the retry budget; it starts full."""
     failures_to_open: int = 5
-    """Failures in a row that open the circuit."""
-    open_s: float = 1.0
-    """Mean time until one call probes an open circuit."""
-    open_most_s: float = 8.0
-    """The time doubles with each failed probe, up to this."""
+    """Consecutive failed attempts that open the circuit."""
+    first_probe_delay_s: float = 1.0
+    """Mean time from the opening of the circuit to its first probe."""
+    max_probe_delay_s: float = 8.0
+    """Upper limit of that mean time, which doubles after each failed probe."""
 
 
-class RetryAllowance:
-    """Allows retries as a share of calls, with a small reserve."""
+class RetryBudget:
+    """Limits retries to a fraction of the calls, plus a small reserve.
 
-    def __init__(self, *, share: float, most: float) -> None:
+    A token bucket that calls fill and retries empty.
+    """
+
+    def __init__(self, *, share: float, capacity: float) -> None:
         self._share = share
-        self._most = most
-        self._saved = most
+        self._capacity = capacity
+        self._tokens = capacity
 
-    def note_call(self) -> None:
-        """Earn the share of one call."""
-        self._saved = min(self._most, self._saved + self._share)
+    def record_call(self) -> None:
+        """Add the retries that one call earns."""
+        self._tokens = min(self._capacity, self._tokens + self._share)
 
-    def take(self) -> bool:
-        """Spend one retry; False if none is left."""
-        if self._saved < 1:
+    def spend(self) -> bool:
+        """Spend one retry; return False if none is left."""
+        if self._tokens < 1:
             return False
-        self._saved -= 1
+        self._tokens -= 1
         return True
 
 
 class CircuitBreaker:
-    """Says when the store is so bad that calls need not be tried."""
+    """Blocks calls to a store that has failed several times in a row.
+
+    While the circuit is open, single probe calls are let through at
+    intervals that grow exponentially. Any successful call closes it.
+    """
 
-    def __init__(self, *, limits: GuardLimits, chance: random.Random) -> None:
+    def __init__(self, *, limits: GuardLimits, rng: random.Random) -> None:
         self._limits = limits
-        self._chance = chance
-        self._failures = 0
-        self._opened = 0
+        self._rng = rng
+        self._consecutive_failures = 0
+        self._open_count = 0
         self._probe_at: float | None = None
-        self._probed_at = -math.inf
+        self._last_probe_at = -math.inf
 
     @property
     def is_open(self) -> bool:
-        """Whether the store counts as down at present."""
+        """Whether the store is considered down."""
         return self._probe_at is not None
 
-    def allows(self) -> bool:
-        """Return True for a call that may go out, or for a due probe."""
+    def allow_call(self) -> bool:
+        """Return True if the circuit is closed or a probe is due.
+
+        If a probe is due, the caller's call is the probe and the next one
+        is scheduled.
+        """
         if self._probe_at is None:
             return True
         if anyio.current_time() < self._probe_at:
             return False
-        self._probed_at = anyio.current_time()
-        self._put_off_probe()
+        self._last_probe_at = anyio.current_time()
+        self._schedule_probe()
         return True
 
-    def invite_probe(self) -> None:
-        """Let the next call probe an open circuit, for a person who waits.
+    def request_probe(self) -> None:
+        """Let the next call probe an open circuit, for a waiting operator.
 
-        Otherwise a change is refused for as long as the next probe is put
-        off, though the store is back. Probes stay a while apart.
+        Otherwise a change would be refused until the next scheduled
+        probe although the store has recovered. Early probes keep
+        `MIN_EARLY_PROBE_GAP_S` after the probe before them.
         """
         now = anyio.current_time()
-        if self._probe_at is not None and now - self._probed_at >= INVITED_S:
+        if (
+            self._probe_at is not None
+            and now - self._last_probe_at >= MIN_EARLY_PROBE_GAP_S
+        ):
             self._probe_at = now
 
-    def note(self, *, failed: bool) -> None:
-        """Take the outcome of a call into account."""
+    def record_outcome(self, *, failed: bool) -> None:
+        """Record the outcome of one attempt."""
         if not failed:
             if self._probe_at is not None:
                 log.info('circuit_closed')
-            self._failures = self._opened = 0
+            self._consecutive_failures = self._open_count = 0
             self._probe_at = None
             return
-        self._failures += 1
-        if self._failures < self._limits.failures_to_open:
+        self._consecutive_failures += 1
+        if self._consecutive_failures < self._limits.failures_to_open:
             return
         if self._probe_at is None:
-            log.warning('circuit_opened', failures=self._failures)
-        self._opened += 1
-        self._put_off_probe()
-
-    def _put_off_probe(self) -> None:
-        mean = self._limits.open_s * 2 ** max(0, self._opened - 1)
-        pause = min(mean, self._limits.open_most_s)
-        self._probe_at = anyio.current_time() + pause * self._chance.uniform(
+            log.warning('circuit_opened', failures=self._consecutive_failures)
+        self._open_count += 1
+        self._schedule_probe()
+
+    def _schedule_probe(self) -> None:
+        mean_delay_s = self._limits.first_probe_delay_s * 2 ** max(
+            0, self._open_count - 1
+        )
+        delay_s = min(mean_delay_s, self._limits.max_probe_delay_s)
+        self._probe_at = anyio.current_time() + delay_s * self._rng.uniform(
             0.5, 1.5
         )
--- a/packages/mimosamux-daemon/mimosamux_daemon/control/configuration_acceptor.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/control/configuration_acceptor.py
@@ -79,7 +79,7 @@
         spread: Callable[[Sequence[VersionRecord]], None],
         wall_clock: Callable[[], float] = time.time,
         check: FeasibilityCheck | None = None,
-        invite_probe: Callable[[], None] | None = None,
+        request_probe: Callable[[], None] | None = None,
     ) -> None:
         self._replica = replica
         self._log = log
@@ -87,7 +87,7 @@
         self._drafter = Drafter(
             replica=replica, wall_clock=wall_clock, check=check
         )
-        self._invite_probe = invite_probe or (lambda: None)
+        self._request_probe = request_probe or (lambda: None)
         """Has the table tried although it counts as down."""
         self._waiting: list[Offer] = []
         self._deciding = anyio.Lock()
@@ -119,7 +119,7 @@
 
     async def _decide(self, offers: list[Offer]) -> None:
         doubt = _Doubt()
-        self._invite_probe()
+        self._request_probe()
         with anyio.move_on_after(DECIDE_WITHIN_S):
             await self._catch_up_to(offers)
             while True:
--- a/packages/mimosamux-daemon/mimosamux_daemon/control/digests.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/control/digests.py
@@ -1,4 +1,9 @@
-"""Digests: what a daemon tells its peers about endpoints each second."""
+"""Digests with the state of endpoints that daemons exchange each second.
+
+A digest carries what changed since the sender's previous digest: load
+reports, prefix-cache keys, requests sent and the usage by client accounts.
+A full digest carries the complete state of the sender's endpoints.
+"""
 
 import math
 from collections.abc import Iterable, Sequence
@@ -27,30 +32,31 @@
 
 DIGEST_INTERVAL_S = 1.0
 SPEED_TOLERANCE = 0.1
-"""Change of a speed, as a share, that peers are not told of."""
+"""Relative change of a speed up to which digests leave it out."""
 BUDGET_BYTES_PER_S = 20_000
-"""Bytes of digests a second that a daemon sends and receives in all."""
-LEAST_CACHE_KEYS = 16
+"""Bytes of digests per second that a daemon sends and receives, in total."""
+MIN_CACHE_KEYS = 16
+"""Cache keys that a digest may hold even if they exceed the budget."""
 FULL_CACHE_KEYS = 1_600
-"""Keys in a full digest, which goes to a peer that is new."""
+"""Maximum cache keys in a full digest, which a new peer receives."""
 REPORT_BYTES = 20
-"""Size of an endpoint's load and sends in a digest, as measured."""
+"""Size of an endpoint's load and request counts in a digest."""
 ACCOUNT_BYTES = 17
-"""Size of an account's use in a digest, as measured."""
+"""Size of an account's usage in a digest."""
 CACHE_ITEM_BYTES = 4
-"""What the two lists of keys add to an endpoint, without the keys."""
+"""Overhead of an endpoint's two lists of cache keys, without the keys."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Speeds:
-    """Fields of a report that rarely change."""
+class EngineCapacity:
+    """Slots and speeds of an engine: load report fields that rarely change."""
 
     slots: int
     prefill_tokens_per_s: int
     decode_interval_us: int
 
-    def has_moved(self, known: 'Speeds | None') -> bool:
-        """Whether peers who know `known` have to be told."""
+    def differs_from(self, known: 'EngineCapacity | None') -> bool:
+        """Whether peers that last received `known` need an update."""
         if known is None or known.slots != self.slots:
             return True
         return not (
@@ -67,10 +73,10 @@
         )
 
 
-def speeds_of(state: EndpointState) -> Speeds:
-    """Return the speeds that a peer has to know."""
+def capacity_of(state: EndpointState) -> EngineCapacity:
+    """Return the capacity as digests carry it, in whole units."""
     load = state.load
-    return Speeds(
+    return EngineCapacity(
         slots=load.slots,
         prefill_tokens_per_s=int(load.prefill_tokens_per_s),
         decode_interval_us=int(load.decode_interval_s * 1e6),
@@ -78,84 +84,97 @@
 
 
 class DigestWriter:
-    """Collects news and writes them as digests within a budget."""
+    """Collects changes of the owned endpoints and writes them as digests.
+
+    The digests keep within `BUDGET_BYTES_PER_S` by sampling cache keys.
+    """
 
     def __init__(self, *, fleet: Fleet) -> None:
         self._fleet = fleet
         self._sequence = 0
         self._written_at: float | None = None
-        self._reported: dict[EndpointId, None] = {}
-        self._cache_by_id: dict[EndpointId, CacheNews] = {}
-        self._speeds_by_id: dict[EndpointId, Speeds] = {}
-        self._doubt_by_id: dict[EndpointId, bool] = {}
+        self._reported_ids: dict[EndpointId, None] = {}
+        self._cache_changes_by_id: dict[EndpointId, CacheNews] = {}
+        self._sent_capacity_by_id: dict[EndpointId, EngineCapacity] = {}
+        self._sent_doubt_by_id: dict[EndpointId, bool] = {}
 
     def note(self, report: EngineReport) -> None:
-        """Count a report of an endpoint that this daemon owns."""
+        """Add a report of an endpoint that this daemon owns."""
         if isinstance(report, LoadReport):
-            self._reported[report.endpoint] = None
+            self._reported_ids[report.endpoint] = None
             return
-        news = self._cache_by_id.setdefault(report.endpoint, CacheNews())
-        news.note(report)
+        cache_changes = self._cache_changes_by_id.setdefault(
+            report.endpoint, CacheNews()
+        )
+        cache_changes.note(report)
 
     def forget(self, endpoint: EndpointId) -> None:
-        """Drop what was noted of an endpoint no longer owned."""
-        self._reported.pop(endpoint, None)
-        self._cache_by_id.pop(endpoint, None)
-        self._speeds_by_id.pop(endpoint, None)
-        self._doubt_by_id.pop(endpoint, None)
+        """Drop the changes of an endpoint that this daemon ceased to own."""
+        self._reported_ids.pop(endpoint, None)
+        self._cache_changes_by_id.pop(endpoint, None)
+        self._sent_capacity_by_id.pop(endpoint, None)
+        self._sent_doubt_by_id.pop(endpoint, None)
 
     def write(
         self, *, peers: int, accounts: Sequence[AccountUse] = ()
     ) -> FleetDigest:
-        """Return the news since the last digest, for `peers` peers."""
+        """Return a digest of the changes since the last one.
+
+        `peers` is the number of peers that it goes to; they share the
+        budget.
+        """
         now = anyio.current_time()
         recent = self._fleet.take_recent()
-        ids = {**self._reported, **dict.fromkeys(recent)}
+        ids = {**self._reported_ids, **dict.fromkeys(recent)}
         items = {
             id_: self._write_load(id_, recent.get(id_), now)
             for id_ in ids
             if id_ in self._fleet.by_id
         }
-        allowed = BUDGET_BYTES_PER_S * DIGEST_INTERVAL_S / 2 / max(peers, 1)
-        left = allowed - len(items) * REPORT_BYTES
-        left -= len(accounts) * ACCOUNT_BYTES
-        self._write_cache(items, int(left))
+        budget = BUDGET_BYTES_PER_S * DIGEST_INTERVAL_S / 2 / max(peers, 1)
+        bytes_left = budget - len(items) * REPORT_BYTES
+        bytes_left -= len(accounts) * ACCOUNT_BYTES
+        self._write_cache(items, int(bytes_left))
         self._sequence += 1
-        since = now if self._written_at is None else self._written_at
+        previous_at = now if self._written_at is None else self._written_at
         self._written_at = now
-        self._reported.clear()
+        self._reported_ids.clear()
         return FleetDigest(
             sequence=self._sequence,
-            interval_ms=int((now - since) * 1000),
+            interval_ms=int((now - previous_at) * 1000),
             endpoints=list(items.values()),
             accounts=list(accounts),
         )
 
     def write_full(
-        self, owned: Iterable[EndpointId], news: FleetDigest
+        self, owned: Iterable[EndpointId], changes: FleetDigest
     ) -> FleetDigest:
-        """Return all about the owned endpoints, in place of `news`."""
+        """Return a full digest of the owned endpoints.
+
+        It replaces `changes`, the digest of changes with the same sequence
+        number, and includes its entries.
+        """
         now = anyio.current_time()
-        sent = {item.endpoint: item for item in news.endpoints}
+        item_by_key = {item.endpoint: item for item in changes.endpoints}
         known = [id_ for id_ in owned if id_ in self._fleet.by_id]
-        share = FULL_CACHE_KEYS // max(len(known), 1)
+        keys_each = FULL_CACHE_KEYS // max(len(known), 1)
         for id_ in known:
             state = self._fleet.by_id[id_]
             item = EndpointDigest(endpoint=key_of(id_))
             if state.report is not None:
                 _write_report(item, state, now)
-                _write_speeds(item, speeds_of(state))
+                _write_capacity(item, capacity_of(state))
             keys = self._fleet.cache.keys(id_)
-            item.stored = pack_keys(sample_keys(keys, share))
+            item.stored = pack_keys(sample_keys(keys, keys_each))
             item.doubtful = self._fleet.cache.has_doubt(id_)
-            _copy_sends(item, sent.get(item.endpoint))
-            sent[item.endpoint] = item
+            _copy_request_counts(item, item_by_key.get(item.endpoint))
+            item_by_key[item.endpoint] = item
         return FleetDigest(
-            sequence=news.sequence,
-            interval_ms=news.interval_ms,
+            sequence=changes.sequence,
+            interval_ms=changes.interval_ms,
             full=True,
-            endpoints=list(sent.values()),
-            accounts=news.accounts,
+            endpoints=list(item_by_key.values()),
+            accounts=changes.accounts,
         )
 
     def _write_load(
@@ -163,12 +182,12 @@
     ) -> EndpointDigest:
         state = self._fleet.by_id[id_]
         item = EndpointDigest(endpoint=key_of(id_))
-        if id_ in self._reported:
+        if id_ in self._reported_ids:
             _write_report(item, state, now)
-            speeds = speeds_of(state)
-            if speeds.has_moved(self._speeds_by_id.get(id_)):
-                self._speeds_by_id[id_] = speeds
-                _write_speeds(item, speeds)
+            capacity = capacity_of(state)
+            if capacity.differs_from(self._sent_capacity_by_id.get(id_)):
+                self._sent_capacity_by_id[id_] = capacity
+                _write_capacity(item, capacity)
         if recent is not None:
             item.sent_requests = recent.requests or None
             item.sent_tokens = int(recent.tokens) or None
@@ -176,36 +195,40 @@
         return item
 
     def _write_cache(
-        self, items: dict[EndpointId, EndpointDigest], left: int
+        self, items: dict[EndpointId, EndpointDigest], bytes_left: int
     ) -> None:
-        left -= CACHE_ITEM_BYTES * len(self._cache_by_id)
+        bytes_left -= CACHE_ITEM_BYTES * len(self._cache_changes_by_id)
         keys = [
             key
-            for news in self._cache_by_id.values()
-            for key in (*news.stored, *news.evicted)
+            for cache_changes in self._cache_changes_by_id.values()
+            for key in (*cache_changes.stored, *cache_changes.evicted)
         ]
-        limit = max(left // KEY_BYTES, LEAST_CACHE_KEYS)
+        limit = max(bytes_left // KEY_BYTES, MIN_CACHE_KEYS)
         mask = find_mask(keys, limit)
-        for id_, news in self._cache_by_id.items():
+        for id_, cache_changes in self._cache_changes_by_id.items():
             if id_ not in self._fleet.by_id:
                 continue
-            stored = pack_keys(key for key in news.stored if not key & mask)
-            evicted = pack_keys(key for key in news.evicted if not key & mask)
+            stored = pack_keys(
+                key for key in cache_changes.stored if not key & mask
+            )
+            evicted = pack_keys(
+                key for key in cache_changes.evicted if not key & mask
+            )
             doubtful = self._fleet.cache.has_doubt(id_)
-            changed = self._doubt_by_id.get(id_, False) != doubtful
+            changed = self._sent_doubt_by_id.get(id_, False) != doubtful
             if stored is None and evicted is None and not changed:
                 continue
-            new = EndpointDigest(endpoint=key_of(id_))
-            item = items.setdefault(id_, new)
+            empty_item = EndpointDigest(endpoint=key_of(id_))
+            item = items.setdefault(id_, empty_item)
             item.stored = stored
             item.evicted = evicted
             if changed:
-                item.doubtful = self._doubt_by_id[id_] = doubtful
-        self._cache_by_id.clear()
+                item.doubtful = self._sent_doubt_by_id[id_] = doubtful
+        self._cache_changes_by_id.clear()
 
 
 def apply_digest(fleet: Fleet, digest: FleetDigest) -> None:
-    """Take over what a peer tells of endpoints that are known here."""
+    """Apply a peer's digest to the endpoints that this daemon knows."""
     now = anyio.current_time()
     sent_at = now - digest.interval_ms / 2000
     for item in digest.endpoints:
@@ -267,15 +290,17 @@
     item.waiting = report.waiting or None
 
 
-def _write_speeds(item: EndpointDigest, speeds: Speeds) -> None:
-    item.slots = speeds.slots
-    item.prefill_tokens_per_s = speeds.prefill_tokens_per_s
-    item.decode_interval_us = speeds.decode_interval_us
+def _write_capacity(item: EndpointDigest, capacity: EngineCapacity) -> None:
+    item.slots = capacity.slots
+    item.prefill_tokens_per_s = capacity.prefill_tokens_per_s
+    item.decode_interval_us = capacity.decode_interval_us
 
 
-def _copy_sends(item: EndpointDigest, news: EndpointDigest | None) -> None:
-    if news is None:
+def _copy_request_counts(
+    item: EndpointDigest, changes: EndpointDigest | None
+) -> None:
+    if changes is None:
         return
-    item.sent_requests = news.sent_requests
-    item.sent_tokens = news.sent_tokens
-    item.ended_requests = news.ended_requests
+    item.sent_requests = changes.sent_requests
+    item.sent_tokens = changes.sent_tokens
+    item.ended_requests = changes.ended_requests
--- a/packages/mimosamux-daemon/mimosamux_daemon/control/planner.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/control/planner.py
@@ -184,7 +184,7 @@
                 },
                 prices=self._prices,
                 running=world.running,
-                refused=self._parts.backoff.current()
+                refused=self._parts.backoff.suspended()
                 | self._exchange.refused_elsewhere(),
             ),
             self._policy.planning,
@@ -222,7 +222,7 @@
             sequence=self._sequence,
             demands=demands,
             rates=self._rates.current,
-            refused=self._parts.backoff.current(),
+            refused=self._parts.backoff.suspended(),
             stopping=orders.stopping(),
             counts=counts,
         )
--- a/packages/mimosamux-daemon/mimosamux_daemon/control/store_guard.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/control/store_guard.py
@@ -1,9 +1,9 @@
-"""Guards the platform's store: deadlines, retries, a circuit breaker.
+"""Guards the platform's store: time-outs, retries, a circuit breaker.
 
-The store can be slow or down for a long time. Without a deadline a call
-would hold its caller for as long; without a breaker every request would
-wait for that deadline during an outage; and retries without a budget
-would multiply the load on a store that is coming back.
+The store can be slow or down for a long time. Without a time-out a call
+would block its caller for all that time. Without a circuit breaker every
+request during an outage would wait for the time-out. Retries without a
+budget would multiply the load on a store that is recovering.
 """
 
 import random
@@ -16,7 +16,7 @@
 from mimosamux_daemon.control.circuit_breaker import (
     CircuitBreaker,
     GuardLimits,
-    RetryAllowance,
+    RetryBudget,
 )
 from mimosamux_daemon.domain.store import (
     Check,
@@ -46,18 +46,19 @@
 
 @dataclass(kw_only=True, slots=True)
 class CallGuard:
-    """Guards the calls of one port; its users share one circuit."""
+    """Guards the calls to one store; all callers share one circuit."""
 
     limits: GuardLimits
-    chance: random.Random
-    budget: RetryAllowance = field(init=False)
+    rng: random.Random
+    retry_budget: RetryBudget = field(init=False)
     breaker: CircuitBreaker = field(init=False)
 
     def __post_init__(self) -> None:
-        self.budget = RetryAllowance(
-            share=self.limits.retry_share, most=self.limits.retries_kept
+        self.retry_budget = RetryBudget(
+            share=self.limits.retry_share,
+            capacity=self.limits.max_saved_retries,
         )
-        self.breaker = CircuitBreaker(limits=self.limits, chance=self.chance)
+        self.breaker = CircuitBreaker(limits=self.limits, rng=self.rng)
 
     async def read(
         self,
@@ -65,8 +66,10 @@
         *,
         timeout_s: float,
     ) -> ResultT | Unavailable:
-        """Try a call that may be repeated, within the retry budget."""
-        return await self._try(call, timeout_s=timeout_s, repeatable=True)
+        """Make an idempotent call, with retries within the retry budget."""
+        return await self._call_with_retries(
+            call, timeout_s=timeout_s, is_idempotent=True
+        )
 
     async def write(
         self,
@@ -74,73 +77,78 @@
         *,
         timeout_s: float,
     ) -> ResultT | Unavailable:
-        """Try a call again only if no earlier try can have landed."""
-        return await self._try(call, timeout_s=timeout_s, repeatable=False)
+        """Make a call, retried only if no earlier attempt may have landed."""
+        return await self._call_with_retries(
+            call, timeout_s=timeout_s, is_idempotent=False
+        )
 
-    async def _try(
+    async def _call_with_retries(
         self,
         call: Callable[[], Awaitable[ResultT | Unavailable]],
         *,
         timeout_s: float,
-        repeatable: bool,
+        is_idempotent: bool,
     ) -> ResultT | Unavailable:
-        self.budget.note_call()
+        self.retry_budget.record_call()
         result: ResultT | Unavailable = CIRCUIT_OPEN
-        for number in range(self.limits.tries):
-            if number and not await self._pause_before(number):
+        for attempt in range(self.limits.max_attempts):
+            if attempt and not await self._back_off(attempt):
                 return result
-            if not self.breaker.allows():
+            if not self.breaker.allow_call():
                 return result
-            result = await self._try_once(call, timeout_s)
+            result = await self._attempt(call, timeout_s)
             if not isinstance(result, Unavailable):
                 return result
-            if result.may_have_landed and not repeatable:
+            if result.may_have_landed and not is_idempotent:
                 return result
         return result
 
-    async def _try_once(
+    async def _attempt(
         self,
         call: Callable[[], Awaitable[ResultT | Unavailable]],
         timeout_s: float,
     ) -> ResultT | Unavailable:
-        # A call that is cut off here may still be on its way to the
-        # store, so a write that ran out of time may have landed.
+        # A call that is cancelled here may still reach the store, so a
+        # write that timed out may have landed.
         result: ResultT | Unavailable = Unavailable(
             reason=f'no answer in {timeout_s} s', may_have_landed=True
         )
         with anyio.move_on_after(timeout_s):
             result = await call()
-        self.breaker.note(failed=isinstance(result, Unavailable))
+        self.breaker.record_outcome(failed=isinstance(result, Unavailable))
         return result
 
-    async def _pause_before(self, number: int) -> bool:
-        if not self.budget.take():
+    async def _back_off(self, attempt: int) -> bool:
+        if not self.retry_budget.spend():
             return False
-        mean = self.limits.pause_s * 2 ** (number - 1)
-        await anyio.sleep(mean * self.chance.uniform(0.5, 1.5))
+        mean_s = self.limits.first_backoff_s * 2 ** (attempt - 1)
+        await anyio.sleep(mean_s * self.rng.uniform(0.5, 1.5))
         return True
 
 
 @dataclass(kw_only=True, slots=True)
 class StoreGuard:
-    """Guards of the table and the object store.
+    """Guards for the table and the object store.
 
-    Each has a circuit of its own: the object store can be down while the
-    table is up, and calls that need only the table must go on then.
+    Each has its own circuit: the object store can be down while the
+    table is up, and calls that need only the table must still go through.
     """
 
     metrics: Metrics
     limits: GuardLimits = field(default_factory=GuardLimits)
-    chance: random.Random = field(default_factory=random.Random)
+    rng: random.Random = field(default_factory=random.Random)
     table_calls: CallGuard = field(init=False)
     object_calls: CallGuard = field(init=False)
 
     def __post_init__(self) -> None:
-        self.table_calls = CallGuard(limits=self.limits, chance=self.chance)
-        self.object_calls = CallGuard(limits=self.limits, chance=self.chance)
+        self.table_calls = CallGuard(limits=self.limits, rng=self.rng)
+        self.object_calls = CallGuard(limits=self.limits, rng=self.rng)
 
     def table(self, table: Table, *, mechanism: str) -> 'GuardedTable':
-        """Return a guarded table whose rows count for a mechanism."""
+        """Return a guarded table.
+
+        Its rows are counted under the metric label `mechanism`.
+        """
         return GuardedTable(guard=self, table=table, mechanism=mechanism)
 
     def objects(self, objects: ObjectStore) -> 'GuardedObjectStore':
@@ -150,14 +158,14 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class GuardedTable:
-    """The `Table` port with deadlines, retries and a breaker."""
+    """A `Table` with time-outs, retries and a circuit breaker."""
 
     guard: StoreGuard
     table: Table
     mechanism: str
 
     async def read(self, key: str) -> Row | None | Unavailable:
-        """Return the row, None where there is none."""
+        """Return the row, or None if there is none."""
         self._count(ROWS_READ, 1)
         return await self.guard.table_calls.read(
             lambda: self.table.read(key),
@@ -167,7 +175,10 @@
     async def scan(
         self, prefix: str, *, after: str = '', limit: int = 1000
     ) -> tuple[Row, ...] | Unavailable:
-        """Return rows whose key starts with `prefix`, sorted by key."""
+        """Return up to `limit` rows with this key prefix, sorted by key.
+
+        Rows with keys up to and including `after` are left out.
+        """
         rows = await self.guard.table_calls.read(
             lambda: self.table.scan(prefix, after=after, limit=limit),
             timeout_s=self.guard.limits.call_timeout_s,
@@ -179,7 +190,7 @@
     async def commit(
         self, checks: Sequence[Check], writes: Sequence[Write]
     ) -> CommitOutcome:
-        """Write all rows together if every check holds."""
+        """Write all rows in one transaction if every check holds."""
         outcome: CommitOutcome = await self.guard.table_calls.write(
             lambda: self.table.commit(checks, writes),
             timeout_s=self.guard.limits.call_timeout_s,
@@ -196,20 +207,23 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class GuardedObjectStore:
-    """The `ObjectStore` port with deadlines, retries and a breaker."""
+    """An `ObjectStore` with time-outs, retries and a circuit breaker."""
 
     guard: StoreGuard
     objects: ObjectStore
 
     async def put(self, key: str, data: bytes) -> None | Unavailable:
-        """Store the object; a repeat stores the same once more."""
+        """Store the object.
+
+        `CallGuard.read` makes the call because the put is idempotent.
+        """
         return await self.guard.object_calls.read(
             lambda: self.objects.put(key, data),
             timeout_s=self.guard.limits.object_timeout_s,
         )
 
     async def get(self, key: str) -> bytes | None | Unavailable:
-        """Return the object, None where there is none."""
+        """Return the object, or None if there is none."""
         return await self.guard.object_calls.read(
             lambda: self.objects.get(key),
             timeout_s=self.guard.limits.object_timeout_s,
--- a/packages/mimosamux-daemon/mimosamux_daemon/control_parts.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/control_parts.py
@@ -151,7 +151,7 @@
             log=changes,
             spread=spread,
             wall_clock=wall_clock,
-            invite_probe=guard.table_calls.breaker.invite_probe,
+            request_probe=guard.table_calls.breaker.request_probe,
             check=TargetCheck(
                 prices=prices,
                 fleet=fleet,
--- a/tests/support/configuration.py
+++ b/tests/support/configuration.py
@@ -62,14 +62,14 @@
         table, invite = self.store.table, None
         if self.guard is not None:
             table = self.guard.table(table, mechanism='test')
-            invite = self.guard.table_calls.breaker.invite_probe
+            invite = self.guard.table_calls.breaker.request_probe
         self.log = ConfigurationLog(table=table, objects=self.store.objects)
         self.acceptor = ConfigurationAcceptor(
             replica=self.replica,
             log=self.log,
             spread=self.spread.extend,
             wall_clock=lambda: 1_700_000_000.0,
-            invite_probe=invite,
+            request_probe=invite,
         )
 
     async def set(self, operation, path, value, expected=None):
--- a/tests/support/side_effects.py
+++ b/tests/support/side_effects.py
@@ -122,7 +122,7 @@
     async def start(self, tasks, daemon: str) -> Process:
         process = Process(incarnation=next(self.numbers) + 1)
         self.processes[daemon] = process
-        guard = StoreGuard(metrics=Metrics(), chance=random.Random(1))
+        guard = StoreGuard(metrics=Metrics(), rng=random.Random(1))
         process.effects = SideEffects(
             table=self._gated_table(guard, process.gate),
             objects=guard.objects(self.objects),
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -287,7 +287,7 @@
         # Guards against a circuit that refuses operators until its next probe.
         async def check():
             anna = await make_first(
-                guard=StoreGuard(metrics=Metrics(), chance=random.Random(1))
+                guard=StoreGuard(metrics=Metrics(), rng=random.Random(1))
             )
             anna.store.table.faults.down = True
             for _ in range(60):
--- a/tests/test_store_guard.py
+++ b/tests/test_store_guard.py
@@ -39,8 +39,8 @@
         self.memory = FlakyTable()
         self.guard = StoreGuard(
             metrics=Metrics(),
-            limits=GuardLimits(retries_kept=10.0),
-            chance=random.Random(1),
+            limits=GuardLimits(max_saved_retries=10.0),
+            rng=random.Random(1),
         )
         self.table = self.guard.table(self.memory, mechanism='test')
 
@@ -122,7 +122,7 @@
     def test_retries_stay_within_the_budget(self):
         async def check():
             limits = GuardLimits(
-                retries_kept=2.0, retry_share=0.0, failures_to_open=1000
+                max_saved_retries=2.0, retry_share=0.0, failures_to_open=1000
             )
             guard = StoreGuard(metrics=Metrics(), limits=limits)
             table = guard.table(self.memory, mechanism='test')
