--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/choice.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/choice.py
@@ -135,8 +135,8 @@
     ) -> list[EndpointRecord]:
         """Return the endpoints that a request may be sent to.
 
-        A repeated request goes only to software versions that have passed
-        their trial: a faulty version must not fail it twice.
+        A repeated request is not sent to software versions on trial: a
+        faulty version must not fail it twice.
         """
         records = [
             record
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/forwarding.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/forwarding.py
@@ -127,7 +127,7 @@
         refusal = self.quarantine.find_refusal(job.content)
         if refusal is not None:
             return refusal
-        self._note_demand(job)
+        self._count_demand(job)
         return await self._run_until_deadline(job, caller, lag_s)
 
     async def _run_until_deadline(
@@ -153,7 +153,7 @@
             outcome = self._end_at_deadline(job)
         return outcome
 
-    def _note_demand(self, job: Job) -> None:
+    def _count_demand(self, job: Job) -> None:
         """Count the request for the retry budget and the demand estimate."""
         self.budget.note_request(job.service.name)
         prompt = job.request.prompt
@@ -181,6 +181,7 @@
                 return outcome
 
     def _give_up_unplaced(self, job: Job) -> GatewayOutcome:
+        """Return the outcome of a job that no endpoint takes."""
         name = job.service.name
         wait_s = self.roster.opens_in_s(name)
         if wait_s > 0:
@@ -229,6 +230,7 @@
     async def _exchange(
         self, job: Job, attempt: Attempt
     ) -> GatewayOutcome | NotSent | ContinueElsewhere:
+        """Send the request, and handle the response."""
         async with self.calls.send(attempt.call()) as sent:
             if isinstance(sent, NotSent):
                 attempt.note_connect_failed(sent.reason)
@@ -274,18 +276,18 @@
     ) -> GatewayOutcome | ContinueElsewhere:
         """Forward a whole response; retry a 5xx elsewhere if allowed."""
         attempt.note_begun()
-        whole = await receive_complete(answer, failover_wait, job)
-        if isinstance(whole, NoAnswer):
+        response = await receive_complete(answer, failover_wait, job)
+        if isinstance(response, NoAnswer):
             return ContinueElsewhere()
-        if isinstance(whole, CallBroken):
-            return self._handle_broken_call(job, attempt, whole)
-        if not isinstance(whole, CompleteAnswer):
-            return whole
+        if isinstance(response, CallBroken):
+            return self._handle_broken_call(job, attempt, response)
+        if not isinstance(response, CompleteAnswer):
+            return response
         is_error = answer.status >= HTTPStatus.INTERNAL_SERVER_ERROR
         attempt.note_result(failed=is_error)
         if is_error and self._take_retry(job):
             return ContinueElsewhere()
-        return await send_complete(job, whole)
+        return await send_complete(job, response)
 
     async def _forward_stream(
         self,
@@ -326,6 +328,7 @@
     def _handle_turned_down(
         self, job: Job, attempt: Attempt, answer: TurnedDown
     ) -> GatewayOutcome | ContinueElsewhere:
+        """Retry a request that its endpoint rejected, or refuse it."""
         attempt.note_turned_down(answer)
         if self._take_retry(job, is_proven_not_run=True):
             return ContinueElsewhere()
@@ -340,6 +343,7 @@
     def _handle_broken_call(
         self, job: Job, attempt: Attempt, broken: CallBroken
     ) -> GatewayOutcome | ContinueElsewhere:
+        """Retry a request whose answer broke off, or fail it."""
         job.has_broken_off = True
         attempt.note_broken(broken.reason)
         if self._take_retry(job):
@@ -352,7 +356,8 @@
         """Whether the request may go to a further endpoint; spends a retry.
 
         `is_proven_not_run` is set if the endpoint states that it has not run
-        the request; only then may a non-repeatable request be sent again.
+        the request. Only then may a non-repeatable request be sent again, and
+        only if no earlier attempt may have run it.
         """
         if not job.route.may_repeat and (
             job.may_have_run or not is_proven_not_run
@@ -369,6 +374,7 @@
         return self.budget.take(job.service.name)
 
     def _has_alternative(self, job: Job) -> bool:
+        """Whether there is an endpoint that has not been tried yet."""
         return bool(
             self.chooser.find_candidates(
                 job.service.name,
@@ -378,6 +384,7 @@
         )
 
     def _end_at_deadline(self, job: Job) -> GatewayOutcome:
+        """Return the outcome of a job whose deadline has passed."""
         if job.sink.is_started:
             return BrokenOff(reason='no whole answer in time')
         return job.give_up(
--- a/tests/test_gateway_cap_loans.py
+++ b/tests/test_gateway_cap_loans.py
@@ -227,7 +227,7 @@
         async def check():
             async with open_site(daemons=1) as site:
                 admission = site.daemons[0].daemon.parts.admission
-                admit = admission._admit
+                admit = admission._check
 
                 async def admit_later(request, sink):
                     await anyio.sleep(0.3)
