--- a/packages/mimosamux-daemon/mimosamux_daemon/control/lease_keeper.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/control/lease_keeper.py
@@ -1,4 +1,4 @@
-"""Waits for a lease, holds it, and runs a task while it is held."""
+"""Acquires a lease, renews it and runs a task while it is held."""
 
 import random
 from collections.abc import Awaitable, Callable
@@ -8,10 +8,10 @@
 
 from mimosamux_daemon.control.leases import (
     Lease,
-    LeaseHeld,
+    LeaseLost,
     LeasePolicy,
     LeaseTable,
-    LeaseUnsettled,
+    LeaseUnconfirmed,
     parse_record,
 )
 from mimosamux_daemon.domain.store import Row, Unavailable
@@ -19,36 +19,36 @@
 
 log = get_log('leases')
 
-LEFT_SHARE = 0.5
-"""Part of a lease's time below which a holder that cannot renew it, while
-others reach the table, gives it up."""
-FIRST_FRESH_VERSION = -1
-"""Version that no row has: nothing was seen yet."""
+EARLY_RELEASE_FRACTION = 0.5
+"""Fraction of the lease duration. A holder with less than this left that
+cannot reach the table, while other daemons can, releases the lease."""
+NO_VERSION = -1
+"""Version that no row has: no row has been read yet."""
 
 
 @dataclass(kw_only=True, slots=True)
-class RowWatch:
-    """How long the row of a lease has stood unchanged before our eyes."""
+class RowAge:
+    """Measures for how long the row of a lease has not changed."""
 
-    version: int = FIRST_FRESH_VERSION
-    since: float = 0.0
+    version: int = NO_VERSION
+    unchanged_since: float = 0.0
     clock: Callable[[], float] = anyio.current_time
 
-    def note(self, version: int) -> float:
-        """Note a row just read; return how long it has not changed.
+    def observe(self, version: int) -> float:
+        """Record the version just read; return its age in seconds.
 
-        The time runs from after the first read of it, never from before,
-        as the row may have been written until then.
+        The age counts from after the first read of that version, as the
+        row may have been written until then.
         """
         now = self.clock()
         if version != self.version:
             self.version = version
-            self.since = now
-        return now - self.since
+            self.unchanged_since = now
+        return now - self.unchanged_since
 
 
 class LeaseKeeper:
-    """Keeps one lease; `run` calls a task whenever the lease is held."""
+    """Holds one lease; `run` calls a task whenever the lease is held."""
 
     def __init__(
         self,
@@ -57,23 +57,25 @@
         policy: LeasePolicy,
         randomness: random.Random,
         fencing_is_honoured: Callable[[], bool] = lambda: False,
-        may_try: Callable[[], bool] = lambda: True,
-        is_known_ended: Callable[[int], bool] = lambda version: False,
-        is_cut_off: Callable[[], bool] = lambda: False,
+        may_acquire: Callable[[], bool] = lambda: True,
+        is_known_released: Callable[[int], bool] = lambda version: False,
+        peers_reach_table: Callable[[], bool] = lambda: False,
         clock: Callable[[], float] = anyio.current_time,
     ) -> None:
-        """Take the parts; `may_try` says whether to look for the lease.
+        """Set up the keeper.
 
-        Daemons that know of a live holder need not ask the table. Of a row
-        at a version `is_known_ended` says whether its holder has said that
-        it acts no more; `is_cut_off` whether the table answers others only.
+        `may_acquire` returns whether to read the table for the lease: a
+        daemon that knows of a live holder need not. `is_known_released`
+        returns whether the holder that wrote a version of the row has
+        announced that it stopped acting. `peers_reach_table` returns
+        whether the table answers other daemons.
         """
         self.ended_version = 0
-        """Version of the row at which a lease ended here, 0: none did, or
-        it is held again."""
-        self._is_known_ended = is_known_ended
-        self._is_cut_off = is_cut_off
-        self._may_try = may_try
+        """Row version of the last lease that ended at this daemon; 0 if
+        none has ended, or while this daemon holds the lease again."""
+        self._is_known_released = is_known_released
+        self._peers_reach_table = peers_reach_table
+        self._may_acquire = may_acquire
         self._clock = clock
         self._leases = leases
         self._policy = policy
@@ -82,10 +84,10 @@
         self.held: Lease | None = None
 
     async def run(self, task: Callable[[Lease], Awaitable[None]]) -> None:
-        """Acquire, run the task while the lease is held, start again.
+        """Acquire the lease, run the task while it is held, and repeat.
 
-        The task is cancelled when the lease is lost. On cancellation from
-        outside the lease is given up.
+        The task is cancelled when the lease is lost. The lease is released
+        when the task ends or this call is cancelled.
         """
         while True:
             lease = await self.acquire()
@@ -93,7 +95,7 @@
             log.info('lease_taken', lease=lease.name, fencing=lease.fencing)
             self.held = lease
             try:
-                await self._run_held(lease, task)
+                await self._run_while_held(lease, task)
             finally:
                 self.held = None
                 self.ended_version = lease.version
@@ -101,52 +103,56 @@
             log.info('lease_ended', lease=lease.name, fencing=lease.fencing)
 
     async def acquire(self) -> Lease:
-        """Return the lease once it may be taken and was taken."""
-        watch = RowWatch(clock=self._clock)
+        """Poll the row of the lease until it is taken; return the lease."""
+        row_age = RowAge(clock=self._clock)
         while True:
-            lease = await self._try_once(watch) if self._may_try() else None
+            lease = (
+                await self._try_acquire(row_age)
+                if self._may_acquire()
+                else None
+            )
             if lease is not None:
                 return lease
             await anyio.sleep(self._jittered(self._policy.poll_interval_s))
 
-    async def _try_once(self, watch: RowWatch) -> Lease | None:
+    async def _try_acquire(self, row_age: RowAge) -> Lease | None:
         row = await self._leases.read()
         if isinstance(row, Unavailable):
             return None
         if row is not None and self._leases.is_own(row):
             result = await self._leases.resume(row)
-        elif self._may_take(row, watch):
+        elif self._may_take(row, row_age):
             result = await self._leases.take(row)
         else:
             return None
-        return None if isinstance(result, LeaseUnsettled) else result
+        return None if isinstance(result, LeaseUnconfirmed) else result
 
-    def _may_take(self, row: Row | None, watch: RowWatch) -> bool:
-        if row is None or self._has_ended_with_restart(row):
+    def _may_take(self, row: Row | None, row_age: RowAge) -> bool:
+        if row is None or self._holder_has_restarted(row):
             return True
         record = parse_record(row)
-        # Its holder may go on with the row only while the row stands as it
-        # did when it said so, and then taking the row fails.
-        is_over = record.released or self._is_known_ended(row.version)
-        wait = 0.0 if is_over else record.duration_s
-        if not is_over:
-            wait += self._policy.take_margin_s
+        # A holder that announced its end can resume only by writing the
+        # row again; that changes the version, and then the take fails.
+        has_ended = record.released or self._is_known_released(row.version)
+        wait_s = 0.0 if has_ended else record.duration_s
+        if not has_ended:
+            wait_s += self._policy.take_margin_s
         if not self._fencing_is_honoured():
-            wait += self._policy.unfenced_margin_s
-        return watch.note(row.version) >= wait
+            wait_s += self._policy.unfenced_margin_s
+        return row_age.observe(row.version) >= wait_s
 
-    def _has_ended_with_restart(self, row: Row) -> bool:
-        """Whether the holder was this daemon's own earlier process.
+    def _holder_has_restarted(self, row: Row) -> bool:
+        """Return whether an ended process of this daemon holds the lease.
 
-        Waiting for it to end left a fleet without orders for as long as
-        the lease runs after each stop of all.
+        Waiting for that lease to expire would leave the fleet without
+        orders for the lease duration after each restart of all daemons.
         """
         return (
             self._policy.restart_ends_lease
-            and self._leases.is_of_earlier_life(row)
+            and self._leases.is_other_incarnation(row)
         )
 
-    async def _run_held(
+    async def _run_while_held(
         self, lease: Lease, task: Callable[[Lease], Awaitable[None]]
     ) -> None:
         async with anyio.create_task_group() as tasks:
@@ -157,36 +163,39 @@
     async def _renew_until_lost(
         self, lease: Lease, scope: anyio.CancelScope
     ) -> None:
-        pause = self._jittered(self._policy.renew_interval_s)
+        delay_s = self._jittered(self._policy.renew_interval_s)
         while lease.is_valid():
-            left = lease.valid_until - self._clock()
-            await anyio.sleep(min(pause, left))
+            left_s = lease.valid_until - self._clock()
+            await anyio.sleep(min(delay_s, left_s))
             if not lease.is_valid():
                 break
-            left = lease.valid_until - self._clock()
-            with anyio.move_on_after(left):
+            left_s = lease.valid_until - self._clock()
+            with anyio.move_on_after(left_s):
                 outcome = await self._leases.renew(lease)
-                if isinstance(outcome, LeaseHeld):
+                if isinstance(outcome, LeaseLost):
                     break
-                # An unsettled renewal is tried again soon: waiting for
-                # the usual interval would use up the time that is left.
-                unsettled = isinstance(outcome, LeaseUnsettled)
-                if unsettled and self._is_better_left(lease):
+                # An unconfirmed renewal is retried early: after the usual
+                # interval, too little of the lease duration would be left.
+                is_unconfirmed = isinstance(outcome, LeaseUnconfirmed)
+                if is_unconfirmed and self._should_release_early(lease):
                     break
-                share = 0.25 if unsettled else 1.0
-                pause = share * self._jittered(self._policy.renew_interval_s)
+                factor = 0.25 if is_unconfirmed else 1.0
+                delay_s = factor * self._jittered(
+                    self._policy.renew_interval_s
+                )
         lease.end()
         scope.cancel()
 
-    def _is_better_left(self, lease: Lease) -> bool:
-        """Whether another daemon can hold a lease that this one will lose.
+    def _should_release_early(self, lease: Lease) -> bool:
+        """Return whether to release a lease that cannot be renewed.
 
-        Held to its end it would leave the fleet without orders until a
-        successor has waited for that.
+        If the table answers other daemons only, holding the lease until it
+        expires would leave the fleet without orders until a successor has
+        waited for the expiry.
         """
         left_s = lease.valid_until - self._clock()
-        half_s = LEFT_SHARE * self._policy.duration_s
-        return left_s < half_s and self._is_cut_off()
+        threshold_s = EARLY_RELEASE_FRACTION * self._policy.duration_s
+        return left_s < threshold_s and self._peers_reach_table()
 
     async def _release(self, lease: Lease) -> None:
         with anyio.move_on_after(self._policy.call_timeout_s, shield=True):
--- a/packages/mimosamux-daemon/mimosamux_daemon/control/leases.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/control/leases.py
@@ -1,9 +1,10 @@
-"""Leases with fencing numbers, kept as rows of the platform's table.
+"""Leases with fencing tokens, stored as rows of the platform's table.
 
-No wall clocks are compared between machines. The holder counts from
-before its write was sent, on its own clock; a successor counts from after
-it first saw the row, on its own clock. The holder's time therefore ends
-before the successor's begins, whatever the delays between them.
+Wall clocks of different machines are never compared. The holder measures
+the lease duration on its own monotonic clock from before it sends the
+write; a successor measures it on its own from after it first reads the
+row. The holder's lease therefore expires before the successor may take
+it, whatever the network delays.
 """
 
 from collections.abc import Callable
@@ -30,44 +31,45 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class LeasePolicy:
-    """Times of a lease, in seconds."""
+    """Durations and intervals of a lease, in seconds."""
 
     duration_s: float = 10.0
     renew_interval_s: float = 3.0
     poll_interval_s: float = 3.0
-    """Time between two looks of a daemon that waits for the lease."""
+    """Interval at which a daemon that waits for the lease reads its row."""
     jitter: float = 0.2
-    """Each interval is shortened at random by up to this share."""
+    """Fraction by which each interval is at most shortened, at random."""
     stop_margin_s: float = 2.0
-    """The holder stops this long before its time is over."""
+    """The holder stops acting this long before the lease expires."""
     take_margin_s: float = 1.0
-    """A successor waits this long beyond the full time; it covers clocks
-    that run at slightly different rates."""
+    """Time that a successor waits beyond the lease duration; it covers
+    clocks that run at slightly different rates."""
     unfenced_margin_s: float = 10.0
-    """Wait beyond that where an endpoint ignores fencing numbers: longer
-    than an order of the old holder can be under way."""
+    """Additional wait where an endpoint ignores fencing tokens: longer than
+    an order of the former holder can be in flight."""
     call_timeout_s: float = 2.0
     restart_ends_lease: bool = False
-    """Whether a new process under the holder's name proves that the old one
-    has ended; so it is where the name is an address that both listen at."""
+    """Whether a new process under the holder's id proves that the former
+    one has ended. This holds where the id is an address on which both
+    processes listen."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class LeaseRecord:
-    """What the row of a lease says."""
+    """Content of the row of a lease."""
 
     holder: DaemonId
     incarnation: int
     fencing: int
-    """Goes up by one with every change of holder."""
+    """Fencing token; it increases by one each time the lease is taken."""
     duration_s: float
     released: bool = False
-    """The holder gave the lease up and has stopped acting."""
+    """Whether the holder has released the lease and stopped acting."""
 
 
 @dataclass(kw_only=True, slots=True)
 class Lease:
-    """A lease that this daemon holds; ask `is_valid` before each act."""
+    """A lease that this daemon holds; check `is_valid` before each order."""
 
     name: str
     record: LeaseRecord
@@ -77,49 +79,50 @@
 
     @property
     def fencing(self) -> int:
-        """Number that goes with every order under this lease."""
+        """Fencing token that is sent with every order under this lease."""
         return self.record.fencing
 
     def is_valid(self) -> bool:
         """Return whether the holder may act at this moment.
 
-        A daemon that was paused wakes up with a lease that others may
-        have taken over; its task runs on before any timer of it. Without
-        this look right before an order, two holders would act at once.
+        Another daemon may have taken the lease over while this daemon's
+        VM or process was suspended, and after a resume the task can run
+        before its timers fire. Without this check right before an order,
+        two holders would act at once.
         """
         return self.clock() < self.valid_until
 
     def end(self) -> None:
-        """Stop acting under this lease for good."""
+        """Invalidate this lease permanently."""
         self.valid_until = float('-inf')
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Renewed:
-    """The lease is held for another full time."""
+    """The lease is renewed for its full duration."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class LeaseHeld:
-    """Another daemon, or an earlier life of this one, has the row."""
+class LeaseLost:
+    """Another daemon or incarnation has taken the lease."""
 
     holder: DaemonId
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class LeaseUnsettled:
-    """The table gave no clear answer; look again later."""
+class LeaseUnconfirmed:
+    """The table did not confirm the write; the caller retries later."""
 
     reason: str
 
 
 def parse_record(row: Row) -> LeaseRecord:
-    """Return what the row of a lease says."""
+    """Decode the row of a lease."""
     return LeaseRecord(**orjson.loads(row.value))
 
 
 class LeaseTable:
-    """Takes, renews and gives up one lease, each a single transaction."""
+    """Takes, renews and releases one lease, each in one transaction."""
 
     def __init__(
         self,
@@ -132,9 +135,10 @@
         policy: LeasePolicy,
         clock: Callable[[], float] = anyio.current_time,
     ) -> None:
-        """Take the parts.
+        """Set up access to the lease `name` for the daemon `holder`.
 
-        Where the platform suspends VMs, `clock` has to count that time.
+        Where the platform suspends VMs, `clock` has to advance while the
+        VM is suspended.
         """
         self._clock = clock
         self._table = table
@@ -146,13 +150,13 @@
         self._key = f'{LEASE_PREFIX}{name}'
 
     async def read(self) -> Row | None | Unavailable:
-        """Return the row of the lease as it is now."""
+        """Read the current row of the lease; None if there is none."""
         with anyio.move_on_after(self._policy.call_timeout_s):
             return await self._table.read(self._key)
         return Unavailable(reason='timeout', may_have_landed=False)
 
     def is_own(self, row: Row) -> bool:
-        """Return whether the row names this life of this daemon."""
+        """Return whether this incarnation of this daemon holds the lease."""
         record = parse_record(row)
         return (
             record.holder == self._holder
@@ -160,16 +164,16 @@
             and not record.released
         )
 
-    def is_of_earlier_life(self, row: Row) -> bool:
-        """Return whether the row names this daemon before its restart."""
+    def is_other_incarnation(self, row: Row) -> bool:
+        """Return whether another incarnation of this daemon wrote the row."""
         record = parse_record(row)
         return (
             record.holder == self._holder
             and record.incarnation != self._incarnation
         )
 
-    async def take(self, seen: Row | None) -> Lease | LeaseUnsettled:
-        """Take the lease over if the row is still the one seen."""
+    async def take(self, seen: Row | None) -> Lease | LeaseUnconfirmed:
+        """Take the lease if its row has not changed since `seen` was read."""
         old = parse_record(seen) if seen else None
         record = LeaseRecord(
             holder=self._holder,
@@ -178,54 +182,58 @@
             duration_s=self._policy.duration_s,
         )
         version = seen.version if seen else 0
-        sent = self._clock()
+        sent_at = self._clock()
         audit = self._describe_change('take', old, record)
         outcome = await self._write(record, version, audit)
         if isinstance(outcome, Committed):
-            return self._as_lease(record, outcome.versions[self._key], sent)
+            return self._make_lease(
+                record, outcome.versions[self._key], sent_at
+            )
         if isinstance(outcome, Unavailable) and outcome.may_have_landed:
-            return await self._settle_take(record, sent)
-        return LeaseUnsettled(reason=_describe(outcome))
+            return await self._confirm_take(record, sent_at)
+        return LeaseUnconfirmed(reason=_describe(outcome))
 
-    async def resume(self, seen: Row) -> Lease | LeaseUnsettled:
-        """Go on with a row of this daemon's own, found in the table.
+    async def resume(self, seen: Row) -> Lease | LeaseUnconfirmed:
+        """Renew a lease that the table shows as held by this incarnation.
 
-        The answer to a take can be lost and the write land late, after
-        the row was read back. Nobody else would get the lease until that
-        row is old, and this daemon would wait for itself.
+        The response to a take can be lost and the write be applied late,
+        after the row was read back. Without this method, no daemon could
+        take the lease until that row expires, and this daemon would wait
+        for its own lease to expire.
         """
         record = parse_record(seen)
-        lease = self._as_lease(record, seen.version, float('-inf'))
+        lease = self._make_lease(record, seen.version, float('-inf'))
         outcome = await self.renew(lease)
         if isinstance(outcome, Renewed):
             return lease
-        return LeaseUnsettled(reason='own row was not confirmed')
+        return LeaseUnconfirmed(reason='own row was not confirmed')
 
     async def renew(
         self, lease: Lease
-    ) -> Renewed | LeaseHeld | LeaseUnsettled:
-        """Hold the lease for another full time."""
-        sent = self._clock()
+    ) -> Renewed | LeaseLost | LeaseUnconfirmed:
+        """Renew the lease for its full duration."""
+        sent_at = self._clock()
         outcome = await self._write(lease.record, lease.version, None)
         if isinstance(outcome, Committed):
             lease.version = outcome.versions[self._key]
-            lease.valid_until = self._end_of(sent)
+            lease.valid_until = self._valid_until(sent_at)
             return Renewed()
         if isinstance(outcome, Unavailable):
-            return LeaseUnsettled(reason=outcome.reason)
+            return LeaseUnconfirmed(reason=outcome.reason)
         found = outcome.found
         if found and parse_record(found) == lease.record:
-            # An earlier renewal landed and its answer was lost. The row
-            # is still ours at a newer version: taking it as foreign would
-            # drop the lease at every lost answer.
+            # An earlier renewal was applied and its response lost. This
+            # daemon still holds the row, at a newer version: treating it
+            # as another holder's would lose the lease with every lost
+            # response.
             lease.version = found.version
-            return LeaseUnsettled(reason='an earlier renewal had landed')
+            return LeaseUnconfirmed(reason='an earlier renewal had landed')
         lease.end()
         holder = parse_record(found).holder if found else DaemonId('')
-        return LeaseHeld(holder=holder)
+        return LeaseLost(holder=holder)
 
     async def release(self, lease: Lease) -> None:
-        """Give the lease up, so that a successor need not wait for it."""
+        """Release the lease so that a successor need not await its expiry."""
         lease.end()
         old = lease.record
         record = LeaseRecord(
@@ -238,13 +246,13 @@
         audit = self._describe_change('release', old, record)
         await self._write(record, lease.version, audit)
 
-    async def _settle_take(
-        self, record: LeaseRecord, sent: float
-    ) -> Lease | LeaseUnsettled:
+    async def _confirm_take(
+        self, record: LeaseRecord, sent_at: float
+    ) -> Lease | LeaseUnconfirmed:
         row = await self.read()
         if isinstance(row, Row) and parse_record(row) == record:
-            return self._as_lease(record, row.version, sent)
-        return LeaseUnsettled(reason='answer to the take was lost')
+            return self._make_lease(record, row.version, sent_at)
+        return LeaseUnconfirmed(reason='answer to the take was lost')
 
     async def _write(
         self, record: LeaseRecord, version: int, audit: AuditEntry | None
@@ -258,19 +266,19 @@
             )
         return Unavailable(reason='timeout', may_have_landed=True)
 
-    def _as_lease(
-        self, record: LeaseRecord, version: int, sent: float
+    def _make_lease(
+        self, record: LeaseRecord, version: int, sent_at: float
     ) -> Lease:
         return Lease(
             name=self._name,
             record=record,
             version=version,
-            valid_until=self._end_of(sent),
+            valid_until=self._valid_until(sent_at),
             clock=self._clock,
         )
 
-    def _end_of(self, sent: float) -> float:
-        return sent + self._policy.duration_s - self._policy.stop_margin_s
+    def _valid_until(self, sent_at: float) -> float:
+        return sent_at + self._policy.duration_s - self._policy.stop_margin_s
 
     def _describe_change(
         self, what: str, old: LeaseRecord | None, new: LeaseRecord
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/duties.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/duties.py
@@ -84,9 +84,9 @@
             policy=policy,
             randomness=rng,
             fencing_is_honoured=lambda: checks_fencing,
-            may_try=self._may_acquire,
-            is_known_ended=self._is_released,
-            is_cut_off=self._peers_reach_table,
+            may_acquire=self._may_acquire,
+            is_known_released=self._is_released,
+            peers_reach_table=self._peers_reach_table,
             clock=clock,
         )
 
--- a/tests/test_lease_properties.py
+++ b/tests/test_lease_properties.py
@@ -94,7 +94,7 @@
 class HoldingTooLong(LeaseTable):
     """Counts more time for itself than it wrote into the row."""
 
-    def _end_of(self, sent):
+    def _valid_until(self, sent):
         return sent + 4 * self._policy.duration_s
 
 
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -7,7 +7,7 @@
 from mimosamux_daemon.adapters.memory_table import MemoryTable
 from mimosamux_daemon.control.lease_keeper import LeaseKeeper
 from mimosamux_daemon.control.leases import (
-    LeaseHeld,
+    LeaseLost,
     LeasePolicy,
     LeaseTable,
     Renewed,
@@ -147,7 +147,7 @@
             self.assertGreater(waited, POLICY.duration_s)
             self.assertEqual(later.fencing, 2)
             self.assertEqual(
-                await earlier.renew(lease), LeaseHeld(holder='first')
+                await earlier.renew(lease), LeaseLost(holder='first')
             )
             self.assertFalse(lease.is_valid())
 
