--- a/benchmarks/daemons.py
+++ b/benchmarks/daemons.py
@@ -19,7 +19,7 @@
 )
 from mimosamux_daemon.control.configuration_changes import VersionRecord
 from mimosamux_daemon.control.configuration_log import ConfigurationLog
-from mimosamux_daemon.control.configuration_push import ConfigurationSync
+from mimosamux_daemon.control.configuration_sync import ConfigurationSync
 from mimosamux_daemon.control.membership import Membership
 from mimosamux_daemon.control.proposals import (
     ApplyDocument,
@@ -58,9 +58,9 @@
         super().__init__()
         self.taken_at_by_version: dict[int, float] = {}
 
-    def take(self, configuration: Configuration) -> bool:
+    def update(self, configuration: Configuration) -> bool:
         """Put a newer version in force and note the time."""
-        is_newer = super().take(configuration)
+        is_newer = super().update(configuration)
         if is_newer:
             now = anyio.current_time()
             self.taken_at_by_version[configuration.version] = now
@@ -130,12 +130,12 @@
             membership=self.membership,
         )
         self.acceptor = ConfigurationAcceptor(
-            replica=self.replica, log=self.log, spread=self._spread
+            replica=self.replica, log=self.log, broadcast=self._broadcast
         )
 
-    def _spread(self, records: Sequence[VersionRecord]) -> None:
+    def _broadcast(self, records: Sequence[VersionRecord]) -> None:
         if not self.is_mute:
-            self.sync.spread(records)
+            self.sync.broadcast(records)
 
     async def run(self) -> None:
         """Run the daemon's shared part until cancelled."""
--- a/benchmarks/relay_daemon.py
+++ b/benchmarks/relay_daemon.py
@@ -40,7 +40,7 @@
     for address in engines:
         fleet.add(make_endpoint(address, STREAM_MODEL))
     in_force = ConfigurationInForce()
-    in_force.take(parse_configuration(CONFIGURATION, version=1))
+    in_force.update(parse_configuration(CONFIGURATION, version=1))
     listener = listen('127.0.0.1', 0)
     async with (
         aclosing(HttpEngines()) as engine_port,
--- a/packages/mimosamux-daemon/mimosamux_daemon/api/decisions.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/api/decisions.py
@@ -12,10 +12,10 @@
 )
 from mimosamux_daemon.control.proposals import (
     Accepted,
-    ConflictWith,
     Invalid,
     StoreUnavailable,
     Undecided,
+    VersionConflict,
 )
 
 RETRY_AFTER_S = 5
@@ -33,7 +33,7 @@
 
 
 @decision_response.register
-def _(decision: ConflictWith) -> Response:
+def _(decision: VersionConflict) -> Response:
     who = ', '.join(sorted({change.who for change in decision.changes}))
     return error_response(
         HTTPStatus.CONFLICT,
--- a/packages/mimosamux-daemon/mimosamux_daemon/control/configuration.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/control/configuration.py
@@ -1,4 +1,8 @@
-"""The configuration in force at this daemon, and its document."""
+"""The configuration in force at a daemon, and the replica behind it.
+
+A replica holds the committed configuration document. It moves forward by
+version records, or by a snapshot when records are missing.
+"""
 
 from collections import OrderedDict
 from dataclasses import dataclass
@@ -25,21 +29,21 @@
 log = get_log('configuration')
 
 KEPT_OPERATIONS = 2048
-"""Repeats of an operation are known for so many changes (half an hour at
-1.15 changes a second)."""
+"""Recent operations that a replica remembers, to recognise repeats: half an
+hour of changes at 1.15 changes per second."""
 KEPT_RECORDS = 256
-"""Versions kept in memory for peers that missed them."""
+"""Version records kept in memory for peers that missed them."""
 
 
 class ConfigurationInForce:
-    """Holds the newest configuration; its version only goes up."""
+    """Holds the newest configuration; its version never decreases."""
 
     def __init__(self) -> None:
         self.current = Configuration()
         self._changed = anyio.Event()
 
-    def take(self, configuration: Configuration) -> bool:
-        """Put a newer version in force; an older one changes nothing."""
+    def update(self, configuration: Configuration) -> bool:
+        """Put a newer configuration in force; False if it is not newer."""
         if configuration.version <= self.current.version:
             return False
         self.current = configuration
@@ -48,34 +52,34 @@
         return True
 
     async def wait_for(self, version: int) -> None:
-        """Return once a version is in force that is at least this one."""
+        """Wait until this version or a later one is in force."""
         while self.current.version < version:
             await self._changed.wait()
 
 
-class Advance(Enum):
-    """What became of a record that was offered to a replica."""
+class AdvanceResult(Enum):
+    """Outcome of applying a version record to a replica."""
 
-    TAKEN = auto()
-    KNOWN = auto()
+    APPLIED = auto()
+    ALREADY_APPLIED = auto()
     GAP = auto()
-    """Versions between are missing."""
+    """Versions before the record are missing."""
     CORRUPT = auto()
-    """The result is not the document that was committed."""
+    """The resulting document differs from the committed one or is invalid."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Snapshot:
-    """The whole document as of one version."""
+    """The whole configuration document at one version."""
 
     version: int
     digest: int
     document: Document
     operations: tuple[tuple[str, int], ...]
-    """Recent operations and the versions they led to, oldest first."""
+    """Recent operation ids with the version of each, oldest first."""
 
     def as_bytes(self) -> bytes:
-        """Return the snapshot as objects and messages hold it."""
+        """Return the serialised form that is stored and sent to peers."""
         return orjson.dumps(
             {
                 'version': self.version,
@@ -87,7 +91,7 @@
 
 
 def parse_snapshot(data: bytes) -> Snapshot | None:
-    """Return the snapshot, None if the bytes are none or were spoilt."""
+    """Return the snapshot, or None if the bytes are invalid or corrupt."""
     try:
         fields = orjson.loads(data)
         snapshot = Snapshot(
@@ -99,17 +103,17 @@
                 for operation, version in fields['operations']
             ),
         )
-        is_whole = digest_of(snapshot.document) == snapshot.digest
+        is_intact = digest_of(snapshot.document) == snapshot.digest
     except (ValueError, KeyError, TypeError, AttributeError):
         return None
-    return snapshot if is_whole else None
+    return snapshot if is_intact else None
 
 
 class ConfigurationReplica:
-    """The committed document at this daemon, and its recent past.
+    """The committed document at this daemon, with recent version records.
 
-    Only what is known to be committed is ever put in, so that a peer may
-    take all of it as accepted.
+    It holds only versions that are known to be committed, so that peers
+    may copy it without asking the store.
     """
 
     def __init__(self, *, in_force: ConfigurationInForce) -> None:
@@ -117,21 +121,23 @@
         self.version = 0
         self.document: Document = {}
         self.digest = 0
-        self._operations: OrderedDict[str, int] = OrderedDict()
-        self._records: OrderedDict[int, VersionRecord] = OrderedDict()
+        self._version_by_operation: OrderedDict[str, int] = OrderedDict()
+        self._record_by_version: OrderedDict[int, VersionRecord] = (
+            OrderedDict()
+        )
 
-    def advance(self, record: VersionRecord) -> Advance:
-        """Take the next version."""
+    def advance(self, record: VersionRecord) -> AdvanceResult:
+        """Apply the record if it is the next version."""
         if record.version <= self.version:
-            return Advance.KNOWN
+            return AdvanceResult.ALREADY_APPLIED
         if record.version > self.version + 1:
-            return Advance.GAP
+            return AdvanceResult.GAP
         edits = tuple(record.edits)
         document = apply_edits(self.document, edits)
         digest = digest_after(self.digest, self.document, document, edits)
         if digest != record.digest:
             log.error('record_corrupt', version=record.version)
-            return Advance.CORRUPT
+            return AdvanceResult.CORRUPT
         try:
             configuration = update_configuration(
                 self.in_force.current, document, edits, version=record.version
@@ -140,17 +146,20 @@
             log.error(
                 'record_unreadable', version=record.version, problem=str(error)
             )
-            return Advance.CORRUPT
-        self._hold(record.version, document, digest, configuration)
+            return AdvanceResult.CORRUPT
+        self._install(record.version, document, digest, configuration)
         for change in record.changes:
-            self._note(change.operation, record.version)
-        self._records[record.version] = record
-        if len(self._records) > KEPT_RECORDS:
-            self._records.popitem(last=False)
-        return Advance.TAKEN
+            self._remember_operation(change.operation, record.version)
+        self._record_by_version[record.version] = record
+        if len(self._record_by_version) > KEPT_RECORDS:
+            self._record_by_version.popitem(last=False)
+        return AdvanceResult.APPLIED
 
     def replace(self, snapshot: Snapshot) -> bool:
-        """Take a whole snapshot; an older one changes nothing."""
+        """Replace the document by a newer snapshot.
+
+        Return False if the snapshot is not newer or is unreadable.
+        """
         if snapshot.version <= self.version:
             return False
         try:
@@ -160,39 +169,42 @@
         except InvalidConfiguration as error:
             log.error('snapshot_unreadable', problem=str(error))
             return False
-        self._hold(
+        self._install(
             snapshot.version,
             snapshot.document,
             snapshot.digest,
             configuration,
         )
-        self._records.clear()
-        self._operations.clear()
+        self._record_by_version.clear()
+        self._version_by_operation.clear()
         for operation, version in snapshot.operations:
-            self._note(operation, version)
+            self._remember_operation(operation, version)
         return True
 
     def snapshot(self) -> Snapshot:
-        """Return the document as it is held now."""
+        """Return a snapshot of the current document."""
         return Snapshot(
             version=self.version,
             digest=self.digest,
             document=self.document,
-            operations=tuple(self._operations.items()),
+            operations=tuple(self._version_by_operation.items()),
         )
 
     def version_of(self, operation: str) -> int | None:
-        """Return the version that an operation led to, if it is known."""
-        return self._operations.get(operation)
+        """Return the version that an operation was committed in.
+
+        None if the operation is unknown or was too long ago.
+        """
+        return self._version_by_operation.get(operation)
 
     def records_after(self, version: int) -> tuple[VersionRecord, ...] | None:
-        """Return all later records, None if some are not held."""
+        """Return all records after a version, or None if some are missing."""
         missing = range(version + 1, self.version + 1)
-        if any(number not in self._records for number in missing):
+        if any(number not in self._record_by_version for number in missing):
             return None
-        return tuple(self._records[number] for number in missing)
+        return tuple(self._record_by_version[number] for number in missing)
 
-    def _hold(
+    def _install(
         self,
         version: int,
         document: Document,
@@ -202,9 +214,9 @@
         self.version = version
         self.document = document
         self.digest = digest
-        self.in_force.take(configuration)
+        self.in_force.update(configuration)
 
-    def _note(self, operation: str, version: int) -> None:
-        self._operations[operation] = version
-        if len(self._operations) > KEPT_OPERATIONS:
-            self._operations.popitem(last=False)
+    def _remember_operation(self, operation: str, version: int) -> None:
+        self._version_by_operation[operation] = version
+        if len(self._version_by_operation) > KEPT_OPERATIONS:
+            self._version_by_operation.popitem(last=False)
--- a/packages/mimosamux-daemon/mimosamux_daemon/control/configuration_acceptor.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/control/configuration_acceptor.py
@@ -1,4 +1,8 @@
-"""Accepts changes that operators propose, and answers with a value."""
+"""Commits the configuration changes that operators propose.
+
+Proposals that arrive while another commit is in progress are committed in
+batches, one version per batch.
+"""
 
 import time
 from collections.abc import Callable, Sequence
@@ -20,7 +24,7 @@
     Draft,
     Drafter,
     FeasibilityCheck,
-    Offer,
+    PendingProposal,
 )
 from mimosamux_daemon.control.configuration_log import (
     SNAPSHOT_EVERY,
@@ -40,22 +44,25 @@
 
 log = get_log('configuration')
 
-DECIDE_WITHIN_S = 5.0
-"""After this time the operator hears that the change is in doubt."""
-RETRY_S = 0.1
+DECISION_TIMEOUT_S = 5.0
+"""Time limit for a batch. Proposals without a decision are then answered
+with `Undecided` or `StoreUnavailable`."""
+RETRY_INTERVAL_S = 0.1
 MAX_BATCH = 64
-MAX_AUDITED_CHARACTERS = 4000
+MAX_AUDIT_VALUE_CHARACTERS = 4000
 
 
 @dataclass(kw_only=True, slots=True)
-class _Doubt:
-    """Whether a commit without an answer may still be made.
+class _CommitInDoubt:
+    """Tracks a commit whose outcome is unknown.
 
-    It is decided as soon as the log holds that version: either it is
-    ours, or the check on the head keeps ours out for good.
+    The outcome is known once the log holds that version: either it is
+    this daemon's own commit, or the check on the head row makes sure that
+    its commit can never succeed.
     """
 
     version: int = 0
+    """Version of the commit in doubt; 0 if there is none."""
     reason: str = 'no answer in time'
 
     @property
@@ -69,62 +76,68 @@
 
 
 class ConfigurationAcceptor:
-    """Commits proposals; those that wait together share one version."""
+    """Commits proposals; those of one batch share a version."""
 
     def __init__(
         self,
         *,
         replica: ConfigurationReplica,
         log: ConfigurationLog,
-        spread: Callable[[Sequence[VersionRecord]], None],
+        broadcast: Callable[[Sequence[VersionRecord]], None],
         wall_clock: Callable[[], float] = time.time,
         check: FeasibilityCheck | None = None,
         request_probe: Callable[[], None] | None = None,
     ) -> None:
         self._replica = replica
         self._log = log
-        self._spread = spread
+        self._broadcast = broadcast
         self._drafter = Drafter(
             replica=replica, wall_clock=wall_clock, check=check
         )
         self._request_probe = request_probe or (lambda: None)
-        """Has the table tried although it counts as down."""
-        self._waiting: list[Offer] = []
-        self._deciding = anyio.Lock()
-        self._wants_snapshot = anyio.Event()
+        """Requests a call to the table although its circuit is open."""
+        self._pending: list[PendingProposal] = []
+        self._decision_lock = anyio.Lock()
+        self._snapshot_due = anyio.Event()
 
     async def propose(self, proposal: Proposal) -> Decision:
-        """Return what became of a proposal, within some seconds."""
-        offer = Offer(proposal=proposal)
-        self._waiting.append(offer)
-        # An operator who hangs up must not leave the others of the same
-        # version without an answer, so the work goes on to its end.
+        """Commit a proposal and return the decision on it.
+
+        Each batch that is ahead, and its own, takes at most
+        `DECISION_TIMEOUT_S`.
+        """
+        pending = PendingProposal(proposal=proposal)
+        self._pending.append(pending)
+        # If an operator disconnects, the other operators of the batch must
+        # still get their answers, so the work is shielded.
         with anyio.CancelScope(shield=True):
-            async with self._deciding:
-                while offer.decision is None:
-                    offers = self._waiting[:MAX_BATCH]
-                    del self._waiting[:MAX_BATCH]
-                    if not offers:
-                        raise InvariantBroken('an offer was left undecided')
-                    await self._decide(offers)
-        assert offer.decision is not None
-        return offer.decision
+            async with self._decision_lock:
+                while pending.decision is None:
+                    batch = self._pending[:MAX_BATCH]
+                    del self._pending[:MAX_BATCH]
+                    if not batch:
+                        raise InvariantBroken(
+                            'a pending proposal was left undecided'
+                        )
+                    await self._decide(batch)
+        assert pending.decision is not None
+        return pending.decision
 
     async def run(self) -> None:
-        """Write a snapshot every so many versions."""
+        """Write a snapshot every `SNAPSHOT_EVERY` versions."""
         while True:
-            await self._wants_snapshot.wait()
-            self._wants_snapshot = anyio.Event()
+            await self._snapshot_due.wait()
+            self._snapshot_due = anyio.Event()
             await self._log.compact(self._replica)
 
-    async def _decide(self, offers: list[Offer]) -> None:
-        doubt = _Doubt()
+    async def _decide(self, batch: list[PendingProposal]) -> None:
+        doubt = _CommitInDoubt()
         self._request_probe()
-        with anyio.move_on_after(DECIDE_WITHIN_S):
-            await self._catch_up_to(offers)
+        with anyio.move_on_after(DECISION_TIMEOUT_S):
+            await self._catch_up_to_expected(batch)
             while True:
-                draft = self._drafter.draft(offers)
-                if not draft.offers:
+                draft = self._drafter.draft(batch)
+                if not draft.pending:
                     return
                 outcome = await self._commit(draft, doubt)
                 if isinstance(outcome, Committed):
@@ -133,20 +146,24 @@
                     doubt.reason = outcome.reason
                     if not doubt.is_open:
                         break
-                    await anyio.sleep(RETRY_S)
-                # Whether ours was the one that landed shows in the log:
-                # the draft is made again on top of it.
+                    await anyio.sleep(RETRY_INTERVAL_S)
+                # The log shows whether this daemon's commit succeeded;
+                # the next draft builds on it.
                 await self._catch_up(doubt)
-        for offer in offers:
-            if offer.decision is None:
-                offer.decision = doubt.decision_on(offer.proposal)
+        for pending in batch:
+            if pending.decision is None:
+                pending.decision = doubt.decision_on(pending.proposal)
 
-    async def _catch_up_to(self, offers: list[Offer]) -> None:
-        expected = [offer.proposal.expected_version or 0 for offer in offers]
+    async def _catch_up_to_expected(
+        self, batch: list[PendingProposal]
+    ) -> None:
+        expected = [
+            pending.proposal.expected_version or 0 for pending in batch
+        ]
         if max(expected) > self._replica.version:
-            await self._catch_up(_Doubt())
+            await self._catch_up(_CommitInDoubt())
 
-    async def _catch_up(self, doubt: _Doubt) -> None:
+    async def _catch_up(self, doubt: _CommitInDoubt) -> None:
         caught_up = await self._log.catch_up(self._replica)
         if isinstance(caught_up, Unavailable):
             doubt.reason = caught_up.reason
@@ -156,7 +173,7 @@
             doubt.version = 0
 
     async def _commit(
-        self, draft: Draft, doubt: _Doubt
+        self, draft: Draft, doubt: _CommitInDoubt
     ) -> Committed | Conflict | Unavailable:
         replica = self._replica
         was_in_doubt = doubt.is_open
@@ -168,29 +185,32 @@
             changes=tuple(draft.changes),
         )
         entries = [
-            self._as_entry(change, record.version) for change in draft.changes
+            self._build_audit_entry(change, record.version)
+            for change in draft.changes
         ]
         doubt.version = record.version
         outcome = await self._log.append(record, entries)
-        may_land = isinstance(outcome, Unavailable) and outcome.may_have_landed
-        if not may_land and not was_in_doubt:
+        may_have_landed = (
+            isinstance(outcome, Unavailable) and outcome.may_have_landed
+        )
+        if not may_have_landed and not was_in_doubt:
             doubt.version = 0
         if isinstance(outcome, Committed):
             doubt.version = 0
             replica.advance(record)
             self._publish((record,))
-            for offer in draft.offers:
-                offer.decision = Accepted(version=record.version)
+            for pending in draft.pending:
+                pending.decision = Accepted(version=record.version)
         return outcome
 
     def _publish(self, records: Sequence[VersionRecord]) -> None:
         if not records:
             return
-        self._spread(records)
+        self._broadcast(records)
         if any(record.version % SNAPSHOT_EVERY == 0 for record in records):
-            self._wants_snapshot.set()
+            self._snapshot_due.set()
 
-    def _as_entry(self, change: Change, version: int) -> AuditEntry:
+    def _build_audit_entry(self, change: Change, version: int) -> AuditEntry:
         before = [
             value_at(self._replica.document, e.path) for e in change.edits
         ]
@@ -208,15 +228,15 @@
             who=change.who,
             what=change.what,
             why=change.why,
-            before=_as_text(change.edits, before),
-            after=_as_text(change.edits, after),
+            before=_serialise_values(change.edits, before),
+            after=_serialise_values(change.edits, after),
             version=version,
         )
 
 
-def _as_text(edits: Sequence[Edit], values: Sequence[Any]) -> str:
+def _serialise_values(edits: Sequence[Edit], values: Sequence[Any]) -> str:
     by_path = {
         '.'.join(edit.path): value
         for edit, value in zip(edits, values, strict=True)
     }
-    return orjson.dumps(by_path).decode()[:MAX_AUDITED_CHARACTERS]
+    return orjson.dumps(by_path).decode()[:MAX_AUDIT_VALUE_CHARACTERS]
--- a/packages/mimosamux-daemon/mimosamux_daemon/control/configuration_changes.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/control/configuration_changes.py
@@ -1,8 +1,8 @@
-"""Changes of the configuration document, as values.
+"""Changes of the configuration document, and the document's digest.
 
 The document is what operators write: sections, each with entries by
-name. A change is a list of edits of single paths, so that what is stored
-and sent grows with the change and not with the document.
+name. A change is a list of edits of single paths, so that the size of
+what is stored and sent depends on the change and not on the document.
 """
 
 from collections.abc import Iterable, Iterator, Sequence
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Edit:
-    """A value put at a path, or a path removed."""
+    """Sets the value at a path, or removes the path."""
 
     path: Path
     value: Any = None
@@ -29,46 +29,47 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Change:
-    """What one operator changed in one operation."""
+    """The edits that one operator made in one operation."""
 
     operation: str
-    """Chosen by the operator; the same one is carried out once."""
+    """Idempotency id, chosen by the operator: each id is applied once."""
     who: str
     what: str
+    """Summary of the edits, for the audit trail."""
     why: str
     at: float
-    """Wall time in seconds since 1970, for people."""
+    """Wall-clock time in seconds since 1970, only for display."""
     edits: tuple[Edit, ...]
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class VersionRecord:
-    """One version: the changes that lead to it from the one before."""
+    """The changes that lead from the previous version to this one."""
 
     version: int
     digest: int
-    """Of the whole document as of this version."""
+    """Digest of the whole document at this version."""
     changes: tuple[Change, ...]
 
     def as_bytes(self) -> bytes:
-        """Return the record as its row and messages hold it."""
+        """Return the serialised form that is stored and sent to peers."""
         return orjson.dumps(
             {
                 'version': self.version,
                 'digest': str(self.digest),
-                'changes': [_change_fields(item) for item in self.changes],
+                'changes': [_serialise_change(item) for item in self.changes],
             }
         )
 
     @property
     def edits(self) -> Iterator[Edit]:
-        """Every edit of every change, in order."""
+        """All edits of all changes, in order."""
         for change in self.changes:
             yield from change.edits
 
 
 def parse_record(data: bytes) -> VersionRecord | None:
-    """Return the record, None if the bytes are none."""
+    """Return the record, or None if the bytes are invalid."""
     try:
         fields = orjson.loads(data)
         return VersionRecord(
@@ -81,9 +82,9 @@
 
 
 def apply_edits(document: Document, edits: Iterable[Edit]) -> Document:
-    """Return the edited document; the one passed in stays as it is."""
+    """Return an edited copy; the document passed in is not modified."""
     for edit in edits:
-        document = _edited(document, edit.path, edit)
+        document = _copy_with_edit(document, edit.path, edit)
     return document
 
 
@@ -95,18 +96,18 @@
         return () if before == after else (Edit(path=path, value=after),)
     edits: list[Edit] = []
     for key in sorted(before.keys() | after.keys()):
-        inner = (*path, key)
+        inner_path = (*path, key)
         if key not in after:
-            edits.append(Edit(path=inner, is_removal=True))
+            edits.append(Edit(path=inner_path, is_removal=True))
         elif key not in before:
-            edits.append(Edit(path=inner, value=after[key]))
+            edits.append(Edit(path=inner_path, value=after[key]))
         else:
-            edits.extend(find_differences(before[key], after[key], inner))
+            edits.extend(find_differences(before[key], after[key], inner_path))
     return tuple(edits)
 
 
 def value_at(document: Any, path: Path) -> Any:
-    """Return the value at a path, None where there is none."""
+    """Return the value at a path, or None if there is none."""
     for key in path:
         if not isinstance(document, dict):
             return None
@@ -114,8 +115,8 @@
     return document
 
 
-def is_touched(path: Path, edits: Iterable[Edit]) -> bool:
-    """Tell whether an edit is at, above or below the path."""
+def overlaps_edit(path: Path, edits: Iterable[Edit]) -> bool:
+    """Return whether an edit is at, above or below the path."""
     for edit in edits:
         common = min(len(path), len(edit.path))
         if path[:common] == edit.path[:common]:
@@ -124,7 +125,10 @@
 
 
 def digest_of(document: Document) -> int:
-    """Return the sum of the hashes of all entries."""
+    """Return the sum of the hashes of all entries, modulo 2**64.
+
+    As a sum, it can be updated entry by entry, see `digest_after`.
+    """
     total = 0
     for section, content in document.items():
         total += _section_digest(section, content)
@@ -134,25 +138,26 @@
 def digest_after(
     digest: int, before: Document, after: Document, edits: Sequence[Edit]
 ) -> int:
-    """Return the digest of `after` by hashing only what was edited.
+    """Return the digest of `after` by hashing only the edited entries.
 
-    A hash over the whole document at each change would make the cost of
-    a change grow with the number of client accounts.
+    `digest` is the digest of `before`. Hashing the whole document for
+    each change would make the cost of a change grow with the number of
+    client accounts.
     """
     entries = {edit.path[:2] for edit in edits}
     for entry in entries:
         if len(entry) == 2 and entry[:1] in entries:
-            continue  # The whole section is hashed already.
+            continue  # The edit of the whole section covers the entry.
         digest -= _entry_digest(before, entry)
         digest += _entry_digest(after, entry)
     return digest % DIGEST_MODULUS
 
 
-def _edited(document: Any, path: Path, edit: Edit) -> Any:
+def _copy_with_edit(document: Any, path: Path, edit: Edit) -> Any:
     copy = dict(document) if isinstance(document, dict) else {}
     key = path[0]
     if len(path) > 1:
-        copy[key] = _edited(copy.get(key), path[1:], edit)
+        copy[key] = _copy_with_edit(copy.get(key), path[1:], edit)
     elif edit.is_removal:
         copy.pop(key, None)
     else:
@@ -167,23 +172,25 @@
         return _section_digest(section, content)
     if entry[1] not in content:
         return 0
-    return _hash(section, entry[1], content[entry[1]])
+    return _hash_entry(section, entry[1], content[entry[1]])
 
 
 def _section_digest(section: str, content: Any) -> int:
     if content is None:
         return 0
     if not isinstance(content, dict):
-        return _hash(section, '', content)
-    return sum(_hash(section, name, item) for name, item in content.items())
+        return _hash_entry(section, '', content)
+    return sum(
+        _hash_entry(section, name, item) for name, item in content.items()
+    )
 
 
-def _hash(section: str, name: str, item: Any) -> int:
+def _hash_entry(section: str, name: str, item: Any) -> int:
     data = orjson.dumps([section, name, item], option=orjson.OPT_SORT_KEYS)
     return xxhash.xxh3_64_intdigest(data)
 
 
-def _change_fields(change: Change) -> dict[str, Any]:
+def _serialise_change(change: Change) -> dict[str, Any]:
     return {
         'operation': change.operation,
         'who': change.who,
@@ -200,8 +207,8 @@
 
 
 def _parse_change(fields: dict[str, Any]) -> Change:
-    # Fields are taken by name, so that those of a newer daemon are left
-    # out and do not stop an older one.
+    # Reading fields by name ignores those that a newer daemon added, so
+    # that an older daemon can still read the record.
     return Change(
         operation=fields['operation'],
         who=fields['who'],
@@ -215,7 +222,9 @@
 def _parse_edit(fields: dict[str, Any]) -> Edit:
     path = tuple(fields['path'])
     if not path or not all(isinstance(key, str) for key in path):
-        raise ValueError('an edit names no path')
+        raise ValueError(
+            'edit has an empty path or one that is not of strings'
+        )
     return Edit(
         path=path,
         value=fields.get('value'),
--- a/packages/mimosamux-daemon/mimosamux_daemon/control/configuration_drafts.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/control/configuration_drafts.py
@@ -1,4 +1,4 @@
-"""Makes the next version out of proposals that wait together."""
+"""Drafts the next configuration version from a batch of pending proposals."""
 
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass, field
@@ -14,17 +14,17 @@
     Edit,
     apply_edits,
     find_differences,
-    is_touched,
+    overlaps_edit,
 )
 from mimosamux_daemon.control.configuration_models import parse_configuration
 from mimosamux_daemon.control.proposals import (
     Accepted,
     ApplyDocument,
-    ConflictWith,
     Decision,
     Invalid,
     Proposal,
     SetValue,
+    VersionConflict,
 )
 from mimosamux_daemon.domain.configuration import Configuration
 from mimosamux_daemon.errors import InvalidConfiguration
@@ -32,12 +32,12 @@
 MAX_DOCUMENT_BYTES = 1024 * 1024
 
 FeasibilityCheck = Callable[[Configuration], Invalid | None]
-"""Tells of a target that cannot be met, with the path of its field."""
+"""Returns the path and problem of a target that cannot be met, or None."""
 
 
 @dataclass(kw_only=True, slots=True)
-class Offer:
-    """A proposal, and the decision on it once there is one."""
+class PendingProposal:
+    """A proposal, and the decision on it once it is made."""
 
     proposal: Proposal
     decision: Decision | None = None
@@ -45,20 +45,20 @@
 
 @dataclass(kw_only=True, slots=True)
 class Draft:
-    """A version in the making: the proposals that fit together."""
+    """An uncommitted version that combines compatible proposals."""
 
     document: Document
     changes: list[Change] = field(default_factory=list)
-    offers: list[Offer] = field(default_factory=list)
+    pending: list[PendingProposal] = field(default_factory=list)
 
     @property
     def edits(self) -> list[Edit]:
-        """Every edit of every change, in order."""
+        """All edits of all changes, in order."""
         return [edit for change in self.changes for edit in change.edits]
 
 
 class Drafter:
-    """Checks proposals against the document that is held now."""
+    """Checks proposals against the replica's current document."""
 
     def __init__(
         self,
@@ -71,44 +71,48 @@
         self._wall_clock = wall_clock
         self._check = check
 
-    def draft(self, offers: list[Offer]) -> Draft:
-        """Return a version of the undecided offers that fit together.
+    def draft(self, batch: list[PendingProposal]) -> Draft:
+        """Return a draft of the undecided proposals that are compatible.
 
-        Offers that are known, invalid or in conflict are decided here.
+        Proposals that are committed already, invalid or in conflict with
+        a committed version get their decision here.
         """
-        # A proposal that clashes with one before it is left for the next
-        # version; the first one always fits, so each round settles one.
+        # A proposal that conflicts with an earlier one in the draft waits
+        # for the next version. The first undecided proposal never waits,
+        # so each round makes progress.
         draft = Draft(document=self._replica.document)
-        for offer in offers:
-            if offer.decision is not None:
+        for item in batch:
+            if item.decision is not None:
                 continue
-            known = self._replica.version_of(offer.proposal.operation)
-            if known is not None:
-                offer.decision = Accepted(version=known)
+            committed_version = self._replica.version_of(
+                item.proposal.operation
+            )
+            if committed_version is not None:
+                item.decision = Accepted(version=committed_version)
                 continue
-            edits = self._edits_of(offer.proposal, draft)
+            edits = self._edits_of(item.proposal, draft)
             if edits is None:
                 continue
             if not isinstance(edits, tuple):
-                offer.decision = edits
+                item.decision = edits
                 continue
-            self._add(draft, offer, edits)
+            self._add(draft, item, edits)
         return draft
 
     def _add(
-        self, draft: Draft, offer: Offer, edits: tuple[Edit, ...]
+        self, draft: Draft, item: PendingProposal, edits: tuple[Edit, ...]
     ) -> None:
         document = apply_edits(draft.document, edits)
         if not find_differences(draft.document, document):
-            offer.decision = Accepted(version=self._replica.version)
+            item.decision = Accepted(version=self._replica.version)
             return
         problem = self._find_problem(document)
         if problem is not None:
-            offer.decision = problem
+            item.decision = problem
             return
-        proposal = offer.proposal
+        proposal = item.proposal
         draft.document = document
-        draft.offers.append(offer)
+        draft.pending.append(item)
         draft.changes.append(
             Change(
                 operation=proposal.operation,
@@ -160,13 +164,13 @@
             changes = self._changes_since(proposal.expected_version, draft)
             if changes is None:
                 return self._conflict(None, draft)
-            touching = [
+            overlapping = [
                 change
                 for change in changes
-                if is_touched(proposal.path, change.edits)
+                if overlaps_edit(proposal.path, change.edits)
             ]
-            if touching:
-                return self._conflict(touching, draft)
+            if overlapping:
+                return self._conflict(overlapping, draft)
         return (
             Edit(
                 path=proposal.path,
@@ -178,7 +182,10 @@
     def _changes_since(
         self, version: int, draft: Draft
     ) -> list[Change] | None:
-        """Return the changes after a version; None if not known."""
+        """Return committed and drafted changes after a version.
+
+        None if the replica does not hold all of them.
+        """
         if version > self._replica.version:
             return None
         records = self._replica.records_after(version)
@@ -189,11 +196,11 @@
 
     def _conflict(
         self, changes: Sequence[Change] | None, draft: Draft
-    ) -> ConflictWith | None:
+    ) -> VersionConflict | None:
         if changes and any(change in draft.changes for change in changes):
-            # It races with one that is not committed yet and may fail.
+            # The conflict is with an uncommitted change that may still fail.
             return None
-        return ConflictWith(
+        return VersionConflict(
             version=self._replica.version, changes=tuple(changes or ())
         )
 
--- a/packages/mimosamux-daemon/mimosamux_daemon/control/configuration_log.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/control/configuration_log.py
@@ -1,8 +1,8 @@
-"""The log of the configuration in the platform's table.
+"""The configuration log in the platform's table.
 
-The head row names the newest version; a row for each version holds its
-changes. A snapshot in the object store, named by a row, stands for the
-versions up to it, so that their rows can be deleted.
+The head row holds the newest version number; each version has a row with
+its changes. A snapshot in the object store, referenced by another row,
+replaces the versions up to it, so that their rows can be deleted.
 """
 
 from collections.abc import Awaitable, Sequence
@@ -13,7 +13,7 @@
 import orjson
 
 from mimosamux_daemon.control.configuration import (
-    Advance,
+    AdvanceResult,
     ConfigurationReplica,
     parse_snapshot,
 )
@@ -40,12 +40,13 @@
 CHANGE_PREFIX = 'configuration/change/'
 SNAPSHOT_KEY = 'configuration/snapshot'
 SNAPSHOT_EVERY = 256
-"""Versions between two snapshots."""
+"""Interval between snapshots, in versions."""
 KEPT_ROWS = 512
-"""Rows of versions that stay for the history after a snapshot."""
-OLD_SNAPSHOT = 16 * SNAPSHOT_EVERY
-"""A snapshot so many versions old is emptied: stores keep no junk."""
-DELETED_AT_ONCE = 100
+"""Version rows that are kept as history after a snapshot."""
+SNAPSHOT_RETENTION = 16 * SNAPSHOT_EVERY
+"""Age in versions at which a snapshot object is overwritten with an empty
+one, so that old snapshots do not fill the object store."""
+DELETE_BATCH = 100
 SCAN_ROWS = 500
 CALL_TIMEOUT_S = 2.0
 
@@ -54,18 +55,18 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class CaughtUp:
-    """The replica holds the head; these versions are new to it."""
+    """The replica is at the head of the log, after applying these records."""
 
     records: tuple[VersionRecord, ...]
 
 
 def change_key(version: int) -> str:
-    """Return the key of a version's row; keys sort by version."""
+    """Return the key of a version's row; keys sort in version order."""
     return f'{CHANGE_PREFIX}{version:012d}'
 
 
 class ConfigurationLog:
-    """Reads, extends and shortens the log."""
+    """Reads, appends to and compacts the configuration log."""
 
     def __init__(
         self,
@@ -78,34 +79,35 @@
         self._objects = objects
         self._metrics = metrics
         self._head_offset = 0
+        """Row version of the head row minus its configuration version."""
 
     async def catch_up(
         self, replica: ConfigurationReplica
     ) -> CaughtUp | Unavailable:
-        """Bring a replica up to the head of the log."""
-        head = await self._guard(self._table.read(HEAD_KEY))
+        """Advance a replica to the head of the log."""
+        head = await self._with_timeout(self._table.read(HEAD_KEY))
         if isinstance(head, Unavailable):
             return head
         self._count('read', 1)
         if head is None:
             return CaughtUp(records=())
-        version = self._note_head(head)
-        taken: list[VersionRecord] = []
+        version = self._parse_head(head)
+        applied: list[VersionRecord] = []
         while replica.version < version:
             records = await self.read_records(replica.version)
             if isinstance(records, Unavailable):
                 return records
-            if not self._advance(replica, records, taken):
-                problem = await self._take_snapshot(replica)
+            if not self._advance_replica(replica, records, applied):
+                problem = await self._load_snapshot(replica)
                 if problem is not None:
                     return problem
-        return CaughtUp(records=tuple(taken))
+        return CaughtUp(records=tuple(applied))
 
     async def read_records(
         self, after: int
     ) -> tuple[VersionRecord, ...] | Unavailable:
-        """Return some versions after the given one, oldest first."""
-        rows = await self._guard(
+        """Return up to `SCAN_ROWS` records after a version, oldest first."""
+        rows = await self._with_timeout(
             self._table.scan(
                 CHANGE_PREFIX, after=change_key(after), limit=SCAN_ROWS
             )
@@ -119,10 +121,10 @@
     async def append(
         self, record: VersionRecord, entries: Sequence[AuditEntry]
     ) -> CommitOutcome:
-        """Commit a version together with its audit entries.
+        """Commit a version and its audit entries in one transaction.
 
-        The check on the head row lets one of several daemons through
-        that append the same version.
+        If several daemons append the same version, the check on the head
+        row lets only one of them succeed.
         """
         previous = record.version - 1
         row_version = previous + self._head_offset if previous else 0
@@ -135,33 +137,33 @@
             *(entry.as_write() for entry in entries),
         ]
         self._count('written', len(writes))
-        return await self._guard(
+        return await self._with_timeout(
             self._table.commit(
                 [Check(key=HEAD_KEY, version=row_version)], writes
             ),
-            may_land=True,
+            may_have_landed=True,
         )
 
     async def compact(self, replica: ConfigurationReplica) -> None:
-        """Write a snapshot and delete the rows that it stands for.
+        """Write a snapshot and delete the rows that it replaces.
 
-        Whatever fails here is done again at a later version.
+        Steps that fail are repeated with a later snapshot.
         """
         snapshot = replica.snapshot()
-        pointer = await self._guard(self._table.read(SNAPSHOT_KEY))
+        pointer = await self._with_timeout(self._table.read(SNAPSHOT_KEY))
         if isinstance(pointer, Unavailable):
             return
         self._count('read', 1)
-        if _pointed_version(pointer) >= snapshot.version:
+        if _snapshot_version(pointer) >= snapshot.version:
             return
-        stored = await self._guard(
+        stored = await self._with_timeout(
             self._objects.put(
                 _object_key(snapshot.version), snapshot.as_bytes()
             )
         )
         if isinstance(stored, Unavailable):
             return
-        moved = await self._guard(
+        pointer_write = await self._with_timeout(
             self._table.commit(
                 [
                     Check(
@@ -176,27 +178,27 @@
                     )
                 ],
             ),
-            may_land=True,
+            may_have_landed=True,
         )
-        if isinstance(moved, Unavailable):
+        if isinstance(pointer_write, Unavailable):
             return
         self._count('written', 1)
         await self._delete_rows(snapshot.version - KEPT_ROWS)
-        if snapshot.version > OLD_SNAPSHOT:
-            await self._guard(
+        if snapshot.version > SNAPSHOT_RETENTION:
+            await self._with_timeout(
                 self._objects.put(
-                    _object_key(snapshot.version - OLD_SNAPSHOT), b''
+                    _object_key(snapshot.version - SNAPSHOT_RETENTION), b''
                 )
             )
         log.info('snapshot_written', version=snapshot.version)
 
     async def _delete_rows(self, last: int) -> None:
-        # Rows are deleted only up to a version that a snapshot, whose
-        # row is committed, stands for. Otherwise a daemon that starts
-        # now would find a gap and nothing to fill it with.
+        # Only rows that a committed snapshot covers may be deleted.
+        # Otherwise a daemon that starts would find a gap in the log that
+        # nothing fills.
         while True:
-            rows = await self._guard(
-                self._table.scan(CHANGE_PREFIX, limit=DELETED_AT_ONCE)
+            rows = await self._with_timeout(
+                self._table.scan(CHANGE_PREFIX, limit=DELETE_BATCH)
             )
             if isinstance(rows, Unavailable):
                 return
@@ -204,43 +206,43 @@
             old = [row.key for row in rows if row.key <= change_key(last)]
             if not old:
                 return
-            deleted = await self._guard(
+            deleted = await self._with_timeout(
                 self._table.commit(
                     [], [Write(key=key, value=None) for key in old]
                 ),
-                may_land=True,
+                may_have_landed=True,
             )
             if isinstance(deleted, Unavailable):
                 return
             self._count('written', len(old))
-            if len(old) < DELETED_AT_ONCE:
+            if len(old) < DELETE_BATCH:
                 return
 
-    def _advance(
+    def _advance_replica(
         self,
         replica: ConfigurationReplica,
         records: tuple[VersionRecord, ...],
-        taken: list[VersionRecord],
+        applied: list[VersionRecord],
     ) -> bool:
         if not records:
             return False
         for record in records:
             result = replica.advance(record)
-            if result is Advance.TAKEN:
-                taken.append(record)
-            elif result is not Advance.KNOWN:
+            if result is AdvanceResult.APPLIED:
+                applied.append(record)
+            elif result is not AdvanceResult.ALREADY_APPLIED:
                 return False
         return True
 
-    async def _take_snapshot(
+    async def _load_snapshot(
         self, replica: ConfigurationReplica
     ) -> Unavailable | None:
-        pointer = await self._guard(self._table.read(SNAPSHOT_KEY))
+        pointer = await self._with_timeout(self._table.read(SNAPSHOT_KEY))
         if isinstance(pointer, Unavailable):
             return pointer
         self._count('read', 1)
-        key = _object_key(_pointed_version(pointer))
-        data = await self._guard(self._objects.get(key))
+        key = _object_key(_snapshot_version(pointer))
+        data = await self._with_timeout(self._objects.get(key))
         if isinstance(data, Unavailable):
             return data
         snapshot = parse_snapshot(data or b'')
@@ -252,22 +254,22 @@
             )
         return None
 
-    def _note_head(self, head: Row) -> int:
+    def _parse_head(self, head: Row) -> int:
         version: int = orjson.loads(head.value)['version']
         self._head_offset = head.version - version
         return version
 
-    async def _guard(
+    async def _with_timeout(
         self,
         call: Awaitable[ResultT],
         *,
-        may_land: bool = False,
+        may_have_landed: bool = False,
     ) -> ResultT | Unavailable:
-        # A call that hangs would hold up every operator behind it.
+        # A call that hangs would block all operators queued behind it.
         with anyio.move_on_after(CALL_TIMEOUT_S):
             return await call
         return Unavailable(
-            reason='no answer in time', may_have_landed=may_land
+            reason='no answer in time', may_have_landed=may_have_landed
         )
 
     def _count(self, kind: str, rows: int) -> None:
@@ -276,7 +278,7 @@
             self._metrics.table_rows.add(labels, rows)
 
 
-def _pointed_version(pointer: Row | None) -> int:
+def _snapshot_version(pointer: Row | None) -> int:
     if pointer is None:
         return 0
     version: int = orjson.loads(pointer.value)['version']
--- a/packages/mimosamux-daemon/mimosamux_daemon/control/configuration_models.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/control/configuration_models.py
@@ -1,4 +1,4 @@
-"""Validated models of the configuration that operators offer."""
+"""Validation of the configuration document that operators submit."""
 
 import math
 import re
@@ -25,15 +25,15 @@
 from mimosamux_daemon.errors import InvalidConfiguration
 from mimosamux_daemon.validation import first_problem
 
-DIGEST = re.compile('[0-9a-f]{64}')
+SHA256_HEX = re.compile('[0-9a-f]{64}')
 
 
-class _Strict(pydantic.BaseModel):
+class _StrictModel(pydantic.BaseModel):
     model_config = pydantic.ConfigDict(extra='forbid', frozen=True)
 
 
-class ClassModel(_Strict):
-    """A class of work; the targets are all that operators set."""
+class ClassModel(_StrictModel):
+    """A class of work, with the targets that operators set for it."""
 
     first_token_s: float = pydantic.Field(gt=0)
     token_interval_s: float = pydantic.Field(default=0.033, gt=0)
@@ -53,7 +53,7 @@
         return self
 
 
-class AccountModel(_Strict):
+class AccountModel(_StrictModel):
     """A client account."""
 
     key_digests: tuple[str, ...] = pydantic.Field(min_length=1)
@@ -64,13 +64,13 @@
     @classmethod
     def _check_digests(cls, digests: tuple[str, ...]) -> tuple[str, ...]:
         for digest in digests:
-            if DIGEST.fullmatch(digest) is None:
+            if SHA256_HEX.fullmatch(digest) is None:
                 raise ValueError('a key is kept as its SHA-256 in hex')
         return digests
 
 
-class ModelModel(_Strict):
-    """A model that endpoints serve."""
+class ModelModel(_StrictModel):
+    """A language model that endpoints serve."""
 
     version: str = pydantic.Field(min_length=1)
     machine_classes: tuple[str, ...] = pydantic.Field(
@@ -80,14 +80,14 @@
     checks_fencing: bool = False
 
 
-class ServiceModel(_Strict):
-    """A plain service."""
+class ServiceModel(_StrictModel):
+    """A service without a model."""
 
     work_class: str
 
 
-class ConfigurationModel(_Strict):
-    """The whole configuration, as offered."""
+class ConfigurationModel(_StrictModel):
+    """The whole configuration document as submitted."""
 
     classes: dict[str, ClassModel] = pydantic.Field(default_factory=dict)
     accounts: dict[str, AccountModel] = pydantic.Field(default_factory=dict)
@@ -99,30 +99,30 @@
 
 
 def parse_configuration(document: object, *, version: int) -> Configuration:
-    """Return the checked value of a document that operators offer.
+    """Validate a submitted document and return its configuration.
 
-    `InvalidConfiguration` names the field that is wrong.
+    Raises `InvalidConfiguration` with the path of the invalid field.
     """
     try:
         model = ConfigurationModel.model_validate(document)
     except pydantic.ValidationError as error:
-        raise _as_invalid(error) from error
+        raise _to_invalid_configuration(error) from error
     _check_references(model)
-    return _as_configuration(model, version)
+    return _build_configuration(model, version)
 
 
 def parse_committed(document: object, *, version: int) -> Configuration:
-    """Return the value of a document that was accepted before.
+    """Return the configuration of a committed document.
 
-    Fields that a newer daemon knows and this one does not are left out:
-    during a rolling replacement an older daemon must not stay behind
-    because of them.
+    Unknown fields are ignored. A newer daemon may have written them, and
+    an older daemon must still follow new versions during a rolling
+    replacement.
     """
     try:
         model = ConfigurationModel.model_validate(document, extra='ignore')
     except pydantic.ValidationError as error:
-        raise _as_invalid(error) from error
-    return _as_configuration(model, version)
+        raise _to_invalid_configuration(error) from error
+    return _build_configuration(model, version)
 
 
 def update_configuration(
@@ -132,27 +132,30 @@
     *,
     version: int,
 ) -> Configuration:
-    """Return the value of an accepted document, given the one before.
+    """Return the configuration of a committed document incrementally.
 
-    Only edited entries are read again, so that a change costs the same
-    with ten client accounts and with ten thousand.
+    `previous` is the configuration before `edits`. Only edited entries
+    are parsed, so that a change costs the same with ten client accounts
+    as with ten thousand.
     """
     entries = {edit.path[:2] for edit in edits}
     if previous.version != version - 1 or any(
         len(entry) < 2 or entry[0] not in _SECTIONS for entry in entries
     ):
         return parse_committed(document, version=version)
-    parts: dict[str, Any] = {}
+    sections: dict[str, Any] = {}
     for section, name in entries:
-        part = parts.setdefault(section, dict(getattr(previous, section)))
+        entries_by_name = sections.setdefault(
+            section, dict(getattr(previous, section))
+        )
         content = document.get(section) or {}
         if not isinstance(content, dict):
             return parse_committed(document, version=version)
         if name not in content:
-            part.pop(name, None)
+            entries_by_name.pop(name, None)
             continue
-        part[name] = _parse_entry(section, name, content[name])
-    return replace(previous, version=version, **parts)
+        entries_by_name[name] = _parse_entry(section, name, content[name])
+    return replace(previous, version=version, **sections)
 
 
 def _parse_entry(section: str, name: str, content: object) -> Any:
@@ -160,11 +163,13 @@
     try:
         parsed = model.model_validate(content, extra='ignore')
     except pydantic.ValidationError as error:
-        raise _as_invalid(error, prefix=(section, name)) from error
+        raise _to_invalid_configuration(
+            error, prefix=(section, name)
+        ) from error
     return build(name, parsed)
 
 
-def _as_invalid(
+def _to_invalid_configuration(
     error: pydantic.ValidationError, prefix: tuple[str, ...] = ()
 ) -> InvalidConfiguration:
     problem = first_problem(error, below=prefix)
@@ -188,7 +193,7 @@
                 )
 
 
-def _as_configuration(
+def _build_configuration(
     model: ConfigurationModel, version: int
 ) -> Configuration:
     return Configuration(
@@ -228,7 +233,7 @@
     )
 
 
-_SECTIONS: dict[str, tuple[type[_Strict], Callable[[str, Any], Any]]] = {
+_SECTIONS: dict[str, tuple[type[_StrictModel], Callable[[str, Any], Any]]] = {
     'classes': (ClassModel, _build_class),
     'accounts': (AccountModel, _build_account),
     'models': (ModelModel, _build_model),
--- a/packages/mimosamux-daemon/mimosamux_daemon/control/configuration_push.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/control/configuration_sync.py
@@ -1,11 +1,11 @@
-"""Spreads committed versions to all daemons, and repairs what was missed.
+"""Replicates committed configuration versions to all daemons.
 
-As in bimodal multicast (Birman et al., ACM TOCS 17(2), 1999, which the
-purging paper in the literature builds on), versions are first pushed
-without waiting for anybody, and then repaired by comparing summaries:
-heartbeats carry versions, and whoever is behind fetches what is missing.
-The head row in the table is polled by one daemon of each data centre, for
-when data centres cannot reach each other, and rarely by everyone.
+As in bimodal multicast (Birman et al., ACM TOCS 17(2), 1999), versions are
+first pushed without acknowledgement. Anti-entropy then repairs losses:
+heartbeats carry version numbers, and a daemon that is behind fetches the
+missing versions from a peer. In case data centres cannot reach each other,
+one daemon of each data centre polls the head row in the table; all other
+daemons poll it at a longer interval.
 """
 
 import random
@@ -21,7 +21,7 @@
 )
 
 from mimosamux_daemon.control.configuration import (
-    Advance,
+    AdvanceResult,
     ConfigurationReplica,
     parse_snapshot,
 )
@@ -38,21 +38,22 @@
 
 log = get_log('configuration')
 
-POLL_S = 4.0
-"""Interval at which one daemon of each data centre reads the head row."""
-LAST_RESORT_S = 60.0
-"""Interval at which every other daemon reads it."""
+POLL_INTERVAL_S = 4.0
+"""Interval at which one daemon per data centre polls the head row."""
+FALLBACK_POLL_INTERVAL_S = 60.0
+"""Interval at which all other daemons poll it."""
 REPAIR_DELAY_S = 0.3
-"""Wait for the push before a fetch; most gaps close by themselves."""
+"""Wait before a fetch; the push closes most gaps in that time."""
 FETCH_TIMEOUT_S = 2.0
-START_RETRY_S = 1.0
-MAX_PUSHED = 64
-BEFORE_ANY_VERSION = -1
-"""Asked for with this, a peer sends a snapshot."""
+START_RETRY_INTERVAL_S = 1.0
+MAX_PUSHED_VERSIONS = 64
+"""Maximum version records in a push message."""
+FETCH_SNAPSHOT = -1
+"""Fetching after this version makes the peer send a snapshot."""
 
 
 class ConfigurationSync:
-    """Keeps a replica level with those of all other daemons."""
+    """Keeps a replica in sync with those of all other daemons."""
 
     def __init__(
         self,
@@ -70,29 +71,31 @@
         self._sleep = sleep
         self._unsent: list[VersionRecord] = []
         self._has_unsent = anyio.Event()
-        self._ahead_by_id: dict[DaemonId, int] = {}
-        self._has_ahead = anyio.Event()
-        peers.handle(ConfigurationPush, self._take_push)
+        self._newer_version_by_id: dict[DaemonId, int] = {}
+        self._has_newer = anyio.Event()
+        peers.handle(ConfigurationPush, self._receive_push)
         peers.handle(ConfigurationFetch, self._answer_fetch)
-        membership.listen_versions(self.note_version)
+        membership.listen_versions(self.note_peer_version)
 
-    def spread(self, records: Sequence[VersionRecord]) -> None:
-        """Send committed versions to everybody, in the background."""
+    def broadcast(self, records: Sequence[VersionRecord]) -> None:
+        """Queue committed versions to be sent to all daemons."""
         self._unsent.extend(records)
         self._has_unsent.set()
 
-    def note_version(self, daemon: DaemonId, version: int) -> None:
-        """Note what a peer holds; fetch it if that is more than here."""
+    def note_peer_version(self, daemon: DaemonId, version: int) -> None:
+        """Schedule a fetch from a peer if its version is newer."""
         if version > self._replica.version:
-            self._ahead_by_id[daemon] = version
-            self._has_ahead.set()
+            self._newer_version_by_id[daemon] = version
+            self._has_newer.set()
 
     async def start(
         self, propose_first: Callable[[], Awaitable[None]] | None = None
     ) -> None:
-        """Return once the replica holds a version that is up to date.
+        """Bring the replica up to date and return.
 
-        With the store down it is the highest that reachable peers hold.
+        The version comes from the log or, if the store is unavailable,
+        is the highest of the reachable peers. If the log is empty,
+        `propose_first` is called to commit the first version.
         """
         while True:
             caught_up = await self._log.catch_up(self._replica)
@@ -103,59 +106,62 @@
                 await propose_first()
             if self._replica.version > 0:
                 return
-            await self._sleep(START_RETRY_S * random.uniform(0.5, 1.5))
+            await self._sleep(
+                START_RETRY_INTERVAL_S * random.uniform(0.5, 1.5)
+            )
 
     async def run(self) -> None:
-        """Spread, repair and poll until cancelled."""
+        """Push, repair and poll until cancelled."""
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(self._send_unsent)
+            tasks.start_soon(self._push_unsent)
             tasks.start_soon(self._repair)
             tasks.start_soon(self._poll)
 
-    async def _send_unsent(self) -> None:
+    async def _push_unsent(self) -> None:
         while True:
             await self._has_unsent.wait()
-            records = self._unsent[:MAX_PUSHED]
-            del self._unsent[:MAX_PUSHED]
+            records = self._unsent[:MAX_PUSHED_VERSIONS]
+            del self._unsent[:MAX_PUSHED_VERSIONS]
             if not self._unsent:
                 self._has_unsent = anyio.Event()
-            here = self._membership.data_centre
-            message = _as_push(records, origin=here)
+            local = self._membership.data_centre
+            message = _build_push(records, origin=local)
             for daemon in self._membership.local_peers():
                 await self._peers.notify(daemon, message)
             for daemon in self._membership.remote_targets():
                 await self._peers.notify(daemon, message)
 
-    async def _take_push(
+    async def _receive_push(
         self, sender: DaemonId, message: ConfigurationPush
     ) -> None:
-        taken: list[VersionRecord] = []
+        applied: list[VersionRecord] = []
         for item in message.versions:
             record = parse_record(item.row)
             if record is None:
                 continue
             result = self._replica.advance(record)
-            if result is Advance.TAKEN:
-                taken.append(record)
-            elif result is not Advance.KNOWN:
-                self.note_version(sender, record.version)
+            if result is AdvanceResult.APPLIED:
+                applied.append(record)
+            elif result is not AdvanceResult.ALREADY_APPLIED:
+                self.note_peer_version(sender, record.version)
                 break
-        if taken:
-            await self._relay(sender, message.origin, taken)
+        if applied:
+            await self._forward(sender, message.origin, applied)
 
-    async def _relay(
-        self, sender: DaemonId, origin: str, taken: list[VersionRecord]
+    async def _forward(
+        self, sender: DaemonId, origin: str, applied: list[VersionRecord]
     ) -> None:
-        """Pass versions on that came in for the first time.
+        """Forward records that are new to this daemon.
 
-        What comes from another data centre goes to this one's daemons;
-        what was accepted in this one goes to the links to others.
+        Records from another data centre go to the local daemons. Records
+        that originate in this data centre go to the remote daemons that
+        this daemon has links to.
         """
-        here = self._membership.data_centre
-        message = _as_push(taken, origin=origin)
-        if origin == here:
+        local = self._membership.data_centre
+        message = _build_push(applied, origin=origin)
+        if origin == local:
             targets = self._membership.remote_targets()
-        elif self._membership.data_centre_of(sender) == here:
+        elif self._membership.data_centre_of(sender) == local:
             targets = ()
         else:
             targets = self._membership.local_peers()
@@ -176,35 +182,39 @@
             )
         return ConfigurationState(
             version=replica.version,
-            versions=_as_push(records, origin='').versions,
+            versions=_build_push(records, origin='').versions,
         )
 
     async def _repair(self) -> None:
         while True:
-            await self._has_ahead.wait()
+            await self._has_newer.wait()
             await self._sleep(REPAIR_DELAY_S * random.uniform(0.5, 1.5))
-            self._has_ahead = anyio.Event()
-            while self._ahead_by_id:
+            self._has_newer = anyio.Event()
+            while self._newer_version_by_id:
                 daemon = max(
-                    self._ahead_by_id, key=self._ahead_by_id.__getitem__
+                    self._newer_version_by_id,
+                    key=self._newer_version_by_id.__getitem__,
                 )
-                if self._ahead_by_id.pop(daemon) > self._replica.version:
+                if (
+                    self._newer_version_by_id.pop(daemon)
+                    > self._replica.version
+                ):
                     await self._fetch(daemon)
 
     async def _fetch(self, daemon: DaemonId) -> bool:
-        """Take what a peer has more; False if it did not answer."""
-        answer = await self._ask(daemon, self._replica.version)
+        """Apply newer versions from a peer; return False if that fails."""
+        answer = await self._request_state(daemon, self._replica.version)
         if answer is None:
             return False
-        if self._take_state(answer):
+        if self._apply_state(answer):
             return True
-        # The records do not fit what is held here. Asking for them again
-        # would leave this daemon behind for good; a snapshot replaces it.
-        log.error('replica_differs', version=self._replica.version)
-        answer = await self._ask(daemon, BEFORE_ANY_VERSION)
-        return answer is not None and self._take_state(answer)
+        # The records do not apply to this replica, and fetching them again
+        # would leave it behind for good. A snapshot replaces its document.
+        log.error('replica_diverged', version=self._replica.version)
+        answer = await self._request_state(daemon, FETCH_SNAPSHOT)
+        return answer is not None and self._apply_state(answer)
 
-    async def _ask(
+    async def _request_state(
         self, daemon: DaemonId, after: int
     ) -> ConfigurationState | None:
         answer = await self._peers.call(
@@ -212,7 +222,7 @@
         )
         return answer if isinstance(answer, ConfigurationState) else None
 
-    def _take_state(self, state: ConfigurationState) -> bool:
+    def _apply_state(self, state: ConfigurationState) -> bool:
         if state.snapshot:
             snapshot = parse_snapshot(state.snapshot)
             if snapshot is None:
@@ -224,18 +234,18 @@
             if record is None:
                 return False
             if self._replica.advance(record) in (
-                Advance.CORRUPT,
-                Advance.GAP,
+                AdvanceResult.CORRUPT,
+                AdvanceResult.GAP,
             ):
                 return False
         return True
 
     async def _start_from_peers(self) -> None:
-        """Take the highest version that peers hold.
+        """Fetch the highest version that reachable peers hold.
 
-        Every local daemon is asked, and those elsewhere that summaries
-        show ahead: starting from the first answer could put an older
-        version in force than others have.
+        All local daemons are queried, and up to two in each other data
+        centre until one answers. Starting from the first answer could
+        put an older version in force than other daemons have.
         """
         await self._membership.joined.wait()
         version = -1
@@ -256,20 +266,23 @@
     async def _poll(self) -> None:
         waited_s = 0.0
         while True:
-            wait_s = POLL_S * random.uniform(0.85, 1.15)
+            wait_s = POLL_INTERVAL_S * random.uniform(0.85, 1.15)
             await self._sleep(wait_s)
             waited_s += wait_s
-            if not self._membership.is_poller() and waited_s < LAST_RESORT_S:
+            if (
+                not self._membership.is_poller()
+                and waited_s < FALLBACK_POLL_INTERVAL_S
+            ):
                 continue
-            # Jitter also on the long interval: daemons that started
-            # together would all ask in the same second.
-            waited_s = -random.uniform(0, LAST_RESORT_S / 2)
+            # Without jitter on the long interval too, daemons that started
+            # together would all poll in the same second.
+            waited_s = -random.uniform(0, FALLBACK_POLL_INTERVAL_S / 2)
             caught_up = await self._log.catch_up(self._replica)
             if not isinstance(caught_up, Unavailable) and caught_up.records:
-                self.spread(caught_up.records)
+                self.broadcast(caught_up.records)
 
 
-def _as_push(
+def _build_push(
     records: Sequence[VersionRecord], *, origin: str
 ) -> ConfigurationPush:
     return ConfigurationPush(
--- a/packages/mimosamux-daemon/mimosamux_daemon/control/proposals.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/control/proposals.py
@@ -1,4 +1,4 @@
-"""What operators propose, and what can become of it."""
+"""Configuration changes that operators propose, and the decisions on them."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ApplyDocument:
-    """Puts a whole document in place of the one of a version."""
+    """Replaces the whole document if its version is the expected one."""
 
     operation: str
     who: str
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class SetValue:
-    """Changes one path, on top of changes that others made elsewhere."""
+    """Sets or removes the value at one path and leaves other paths alone."""
 
     operation: str
     who: str
@@ -31,7 +31,7 @@
     value: Any = None
     is_removal: bool = False
     expected_version: int | None = None
-    """Version that the operator saw; None: whatever is there."""
+    """Version that the operator saw; None skips the conflict check."""
     why: str = ''
 
 
@@ -40,23 +40,23 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Accepted:
-    """The change is committed as part of this version."""
+    """The change is committed in this version."""
 
     version: int
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class ConflictWith:
-    """Others changed the same since the version that was expected."""
+class VersionConflict:
+    """Other operators changed the same values after the expected version."""
 
     version: int
     changes: tuple[Change, ...]
-    """Empty if they are so long ago that only the audit has them."""
+    """Changes that conflict; empty if this daemon does not hold them."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Invalid:
-    """The result would be wrong at a path."""
+    """The changed document would be invalid at a path."""
 
     path: str
     problem: str
@@ -71,9 +71,13 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Undecided:
-    """The change may have been made; the same operation id tells."""
+    """The change may have been committed.
+
+    Proposing it again under the same operation id is safe and returns the
+    outcome.
+    """
 
     operation: str
 
 
-Decision = Accepted | ConflictWith | Invalid | StoreUnavailable | Undecided
+Decision = Accepted | VersionConflict | Invalid | StoreUnavailable | Undecided
--- a/packages/mimosamux-daemon/mimosamux_daemon/control_parts.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/control_parts.py
@@ -14,7 +14,7 @@
 )
 from mimosamux_daemon.control.configuration_changes import VersionRecord
 from mimosamux_daemon.control.configuration_log import ConfigurationLog
-from mimosamux_daemon.control.configuration_push import ConfigurationSync
+from mimosamux_daemon.control.configuration_sync import ConfigurationSync
 from mimosamux_daemon.control.discovery import Discovery
 from mimosamux_daemon.control.feasibility import TargetCheck
 from mimosamux_daemon.control.liveness import MembershipLiveness
@@ -133,8 +133,8 @@
         replica=replica, log=changes, peers=peers, membership=membership
     )
 
-    def spread(records: Sequence[VersionRecord]) -> None:
-        sync.spread(records)
+    def broadcast(records: Sequence[VersionRecord]) -> None:
+        sync.broadcast(records)
 
     return ControlParts(
         settings=settings,
@@ -149,7 +149,7 @@
         acceptor=ConfigurationAcceptor(
             replica=replica,
             log=changes,
-            spread=spread,
+            broadcast=broadcast,
             wall_clock=wall_clock,
             request_probe=guard.table_calls.breaker.request_probe,
             check=TargetCheck(
--- a/tests/support/cluster.py
+++ b/tests/support/cluster.py
@@ -12,7 +12,7 @@
     ConfigurationAcceptor,
 )
 from mimosamux_daemon.control.configuration_log import ConfigurationLog
-from mimosamux_daemon.control.configuration_push import ConfigurationSync
+from mimosamux_daemon.control.configuration_sync import ConfigurationSync
 from mimosamux_daemon.control.membership import Membership
 from mimosamux_daemon.control.proposals import (
     Accepted,
@@ -61,7 +61,7 @@
         self.acceptor = cluster.acceptor_class(
             replica=self.replica,
             log=self.log,
-            spread=self.sync.spread,
+            broadcast=self.sync.broadcast,
             wall_clock=cluster.wall_clock,
         )
 
--- a/tests/support/configuration.py
+++ b/tests/support/configuration.py
@@ -67,7 +67,7 @@
         self.acceptor = ConfigurationAcceptor(
             replica=self.replica,
             log=self.log,
-            spread=self.spread.extend,
+            broadcast=self.spread.extend,
             wall_clock=lambda: 1_700_000_000.0,
             request_probe=invite,
         )
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 from mimosamux_daemon.adapters.memory_table import MemoryTable
 from mimosamux_daemon.control.configuration import (
-    Advance,
+    AdvanceResult,
     ConfigurationInForce,
     ConfigurationReplica,
     Snapshot,
@@ -35,10 +35,10 @@
 from mimosamux_daemon.control.proposals import (
     Accepted,
     ApplyDocument,
-    ConflictWith,
     Invalid,
     StoreUnavailable,
     Undecided,
+    VersionConflict,
 )
 from mimosamux_daemon.control.store_guard import StoreGuard
 from mimosamux_daemon.domain.audit import AUDIT_PREFIX, parse_entry
@@ -87,11 +87,11 @@
         """
         in_force = ConfigurationInForce()
         newer = Configuration(version=4)
-        self.assertTrue(in_force.take(newer))
+        self.assertTrue(in_force.update(newer))
         for version in (3, 4, 0):
-            self.assertFalse(in_force.take(Configuration(version=version)))
+            self.assertFalse(in_force.update(Configuration(version=version)))
             self.assertIs(in_force.current, newer)
-        self.assertTrue(in_force.take(Configuration(version=5)))
+        self.assertTrue(in_force.update(Configuration(version=5)))
 
 
 class TableThatGoesDown(MemoryTable):
@@ -160,7 +160,7 @@
             bo = await make_second(anna.store)
             await anna.set('op-1', DRAFT_TARGET, 4.0, expected=1)
             decision = await bo.set('op-2', DRAFT_TARGET, 6.0, expected=1)
-            self.assertIsInstance(decision, ConflictWith)
+            self.assertIsInstance(decision, VersionConflict)
             self.assertEqual(decision.changes[0].who, 'anna')
             self.assertIn(DRAFT_TARGET, decision.changes[0].what)
             document = {**DOCUMENT, 'cost_weight': 2.0}
@@ -172,7 +172,7 @@
                     expected_version=1,
                 )
             )
-            self.assertIsInstance(decision, ConflictWith)
+            self.assertIsInstance(decision, VersionConflict)
 
         run_paused(check)
 
@@ -236,7 +236,7 @@
             strict = ConfigurationAcceptor(
                 replica=anna.replica,
                 log=anna.log,
-                spread=anna.spread.extend,
+                broadcast=anna.spread.extend,
                 check=lambda configuration: problem,
             )
             anna.acceptor = strict
@@ -378,7 +378,8 @@
             await anna.set('op-1', DRAFT_TARGET, 4.0)
             self.assertFalse(anna.replica.replace(first))
             self.assertEqual(
-                anna.replica.advance(anna.spread[0]), Advance.KNOWN
+                anna.replica.advance(anna.spread[0]),
+                AdvanceResult.ALREADY_APPLIED,
             )
             self.assertEqual(anna.replica.version, 2)
 
@@ -401,7 +402,7 @@
             bo = Participant(store=anna.store)
             bo.replica.replace(parse_snapshot(data))
             self.assertEqual(
-                bo.replica.advance(parse_record(spoilt)), Advance.CORRUPT
+                bo.replica.advance(parse_record(spoilt)), AdvanceResult.CORRUPT
             )
 
         run_paused(check)
@@ -437,7 +438,9 @@
             fields = orjson.loads(record.as_bytes())
             fields['newer'] = fields['changes'][0]['newer'] = True
             received = parse_record(orjson.dumps(fields))
-            self.assertEqual(anna.replica.advance(received), Advance.TAKEN)
+            self.assertEqual(
+                anna.replica.advance(received), AdvanceResult.APPLIED
+            )
             draft = anna.replica.in_force.current.classes['draft']
             self.assertEqual(draft.first_token_s, 3.0)
             self.assertEqual(anna.replica.document, document)
--- a/tests/test_configuration_properties.py
+++ b/tests/test_configuration_properties.py
@@ -25,7 +25,7 @@
     CHANGE_PREFIX,
     ConfigurationLog,
 )
-from mimosamux_daemon.control.configuration_push import ConfigurationSync
+from mimosamux_daemon.control.configuration_sync import ConfigurationSync
 from mimosamux_daemon.control.proposals import (
     Accepted,
 )
@@ -358,7 +358,7 @@
 class Reverting(ConfigurationInForce):
     """Takes any version, also an older one."""
 
-    def take(self, configuration):
+    def update(self, configuration):
         self.current = configuration
         return True
 
@@ -367,8 +367,8 @@
     """Says that a change is accepted without a commit."""
 
     async def _commit(self, draft, doubt):
-        for offer in draft.offers:
-            offer.decision = Accepted(version=self._replica.version + 1)
+        for pending in draft.pending:
+            pending.decision = Accepted(version=self._replica.version + 1)
         return Committed(versions={})
 
 
@@ -437,7 +437,7 @@
                 await cluster.accept(cluster.nodes[0], 'op-1', 2.0)
                 await anyio.sleep(1)
                 older = cluster.nodes[1].replica
-                older.in_force.take(type(older.in_force.current)(version=1))
+                older.in_force.update(type(older.in_force.current)(version=1))
                 await anyio.sleep(1)
 
         with self.assertRaises(BaseExceptionGroup) as caught:
--- a/tests/test_monitoring.py
+++ b/tests/test_monitoring.py
@@ -13,7 +13,7 @@
 
 async def fetch(path, **fields):
     in_force = ConfigurationInForce()
-    in_force.take(Configuration(version=fields.pop('version', 1)))
+    in_force.update(Configuration(version=fields.pop('version', 1)))
     routes = MonitoringRoutes(in_force=in_force, **fields).routes()
     transport = httpx.ASGITransport(app=Starlette(routes=routes))
     async with httpx.AsyncClient(
--- a/tests/test_services_api.py
+++ b/tests/test_services_api.py
@@ -79,7 +79,7 @@
             wall_clock=lambda: 0.0,
         )
         in_force = ConfigurationInForce()
-        in_force.take(parse_configuration(CONFIGURATION, version=1))
+        in_force.update(parse_configuration(CONFIGURATION, version=1))
         self.routes = ServiceRoutes(
             in_force=in_force,
             calls=ServiceCalls(
