--- a/packages/mimosamux-daemon/mimosamux_daemon/control/configuration_changes.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/control/configuration_changes.py
@@ -222,9 +222,7 @@
 def _parse_edit(fields: dict[str, Any]) -> Edit:
     path = tuple(fields['path'])
     if not path or not all(isinstance(key, str) for key in path):
-        raise ValueError(
-            'edit has an empty path or one that is not of strings'
-        )
+        raise ValueError('edit has no valid path')
     return Edit(
         path=path,
         value=fields.get('value'),
--- a/packages/mimosamux-daemon/mimosamux_daemon/control/configuration_drafts.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/control/configuration_drafts.py
@@ -102,6 +102,7 @@
     def _add(
         self, draft: Draft, item: PendingProposal, edits: tuple[Edit, ...]
     ) -> None:
+        """Add a proposal to the draft, or decide one without effect."""
         document = apply_edits(draft.document, edits)
         if not find_differences(draft.document, document):
             item.decision = Accepted(version=self._replica.version)
@@ -143,6 +144,10 @@
     def _edits_of(
         self, proposal: Any, draft: Draft
     ) -> tuple[Edit, ...] | Decision | None:
+        """Return the edits of a proposal, or the decision that rejects it.
+
+        None if the proposal has to wait for the next version.
+        """
         raise TypeError(f'not a proposal: {type(proposal).__name__}')
 
     @_edits_of.register
@@ -197,6 +202,7 @@
     def _conflict(
         self, changes: Sequence[Change] | None, draft: Draft
     ) -> VersionConflict | None:
+        """Return the conflict; None if it may vanish with the next version."""
         if changes and any(change in draft.changes for change in changes):
             # The conflict is with an uncommitted change that may still fail.
             return None
