--- a/benchmarks/daemons.py
+++ b/benchmarks/daemons.py
@@ -225,4 +225,4 @@
             len(membership.members(name)) < size
             for name, size in self.size_by_name.items()
         ):
-            seen = await membership.wait_change(seen)
+            seen = await membership.wait_for_change(seen)
--- a/packages/mimosamux-daemon/mimosamux_daemon/api/operators.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/api/operators.py
@@ -132,7 +132,7 @@
         query = parse_query(WaitQuery, dict(request.query_params))
         with anyio.move_on_after(query.timeout_s):
             await self.replica.in_force.wait_for(query.version)
-            await self.membership.wait_held(query.version)
+            await self.membership.wait_for_version(query.version)
         behind = self._behind(query.version)
         if behind:
             return error_response(
@@ -289,7 +289,7 @@
                 'load': member.load / 1000,
             }
             for name in self.membership.data_centres()
-            for member in self.membership.known(name)
+            for member in self.membership.known_members(name)
         ]
 
 
--- a/packages/mimosamux-daemon/mimosamux_daemon/control/configuration_sync.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/control/configuration_sync.py
@@ -75,7 +75,7 @@
         self._has_newer = anyio.Event()
         peers.handle(ConfigurationPush, self._receive_push)
         peers.handle(ConfigurationFetch, self._answer_fetch)
-        membership.listen_versions(self.note_peer_version)
+        membership.add_version_listener(self.note_peer_version)
 
     def broadcast(self, records: Sequence[VersionRecord]) -> None:
         """Queue committed versions to be sent to all daemons."""
@@ -255,7 +255,7 @@
                 await self._fetch(daemon)
             for name in self._membership.data_centres()[1:]:
                 await self._fetch_from_one_of(
-                    [m.id for m in self._membership.known(name)]
+                    [m.id for m in self._membership.known_members(name)]
                 )
 
     async def _fetch_from_one_of(self, daemons: Sequence[DaemonId]) -> None:
--- a/packages/mimosamux-daemon/mimosamux_daemon/control/handover_targets.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/control/handover_targets.py
@@ -1,4 +1,4 @@
-"""Which daemons take over what a stopping one hands on."""
+"""Selects the daemons that take over requests of a stopping daemon."""
 
 from collections.abc import Iterator, Sequence
 
@@ -9,13 +9,13 @@
 
 
 class MembershipTargets:
-    """Ready daemons, near ones first, spread by client account."""
+    """Ready daemons, nearest data centre first, spread by client account."""
 
     def __init__(self, *, membership: Membership) -> None:
         self._membership = membership
 
     def handover_targets(self, account: AccountId) -> Sequence[HandoverTarget]:
-        """Return peers for an account's requests, the best first."""
+        """Return the peers for an account's requests, best first."""
         return [
             HandoverTarget(
                 daemon=member.id, caller_address=member.caller_address
@@ -23,17 +23,19 @@
             for member in self._ranked(account)
         ]
 
-    def has_any(self) -> bool:
-        """Whether any other daemon is ready."""
+    def has_targets(self) -> bool:
+        """Return whether any other daemon is ready."""
         return any(True for _ in self._ranked(AccountId('')))
 
     def _ranked(self, account: AccountId) -> Iterator[Member]:
         membership = self._membership
-        nearest = sorted(membership.data_centres(), key=membership.distance_to)
+        nearest = sorted(
+            membership.data_centres(), key=membership.round_trip_to
+        )
         for name in nearest:
             by_id = {
                 member.id: member
-                for member in membership.known(name)
+                for member in membership.known_members(name)
                 if self._is_ready(member)
             }
             for daemon in rank(by_id, account):
--- a/packages/mimosamux-daemon/mimosamux_daemon/control/journal_claims.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/control/journal_claims.py
@@ -79,7 +79,7 @@
             after = daemon_prefix(holder) + '\U0010ffff'
 
     async def _claim_gone(self) -> None:
-        gone = set(self._membership.gone())
+        gone = set(self._membership.recently_gone())
         self._settled &= gone
         for daemon in sorted(gone - self._settled):
             if await self._claim(daemon):
--- a/packages/mimosamux-daemon/mimosamux_daemon/control/member_view.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/control/member_view.py
@@ -1,4 +1,4 @@
-"""What this daemon knows of the others, and the questions on it."""
+"""Queries on the members that this daemon knows."""
 
 import math
 from collections.abc import Callable
@@ -20,9 +20,9 @@
 
 
 class MemberView:
-    """The daemons that this one knows, itself among them.
+    """The daemons that this daemon knows, itself included.
 
-    Nothing here talks to anybody; `Membership` keeps it up to date.
+    The view does no I/O; `Membership` keeps it up to date.
     """
 
     def __init__(
@@ -40,9 +40,9 @@
         self.data_centre = data_centre
         self.state = MemberState.JOINING
         self.incarnation = incarnation
-        """Higher than that of an earlier process of the same name."""
+        """Higher than that of any earlier process of this daemon."""
         self.changes = 0
-        """How often anything but versions and loads has changed."""
+        """Number of membership changes; versions and loads do not count."""
         self._address = address
         self._caller_address = caller_address
         self._version = version
@@ -50,82 +50,91 @@
         self._members_by_id: dict[DaemonId, Member] = {}
         self._remotes_by_name: dict[DataCentreName, RemoteDataCentre] = {}
         self._gone_by_id: dict[DaemonId, tuple[Member, float]] = {}
-        self._avoided_until: dict[DaemonId, float] = {}
-        self._linked_at = (-1, 0)
-        self._linked_now: list[RemoteDataCentre] = []
+        self._unreachable_until: dict[DaemonId, float] = {}
+        self._links_cache_key = (-1, 0)
+        self._links_cache: list[RemoteDataCentre] = []
         self._listeners: list[VersionListener] = []
         self._changed = anyio.Event()
         self._versions_changed = anyio.Event()
 
     @property
     def changed(self) -> anyio.Event:
-        """Event that the next change of membership sets."""
+        """Event that the next membership change sets and replaces."""
         return self._changed
 
     def incarnation_of(self, daemon: DaemonId) -> int | None:
-        """Return which process of a daemon runs, None if none is known."""
+        """Return the newest known incarnation of a daemon, if any."""
         if daemon == self.daemon:
             return self.incarnation
-        known = [
+        known_members = [
             member
             for data_centre in self.data_centres()
-            for member in self.known(data_centre)
+            for member in self.known_members(data_centre)
             if member.id == daemon
         ]
-        return max((member.incarnation for member in known), default=None)
+        return max(
+            (member.incarnation for member in known_members), default=None
+        )
 
-    def gone(self) -> tuple[DaemonId, ...]:
-        """Return the daemons of this data centre that went lately."""
+    def recently_gone(self) -> tuple[DaemonId, ...]:
+        """Return the daemons of this data centre that are recently gone."""
         return tuple(self._gone_by_id)
 
     def members(self, data_centre: DataCentreName) -> tuple[DaemonId, ...]:
         """Return the ready daemons of a data centre, sorted."""
         found = [
             member.id
-            for member in self.known(data_centre)
+            for member in self.known_members(data_centre)
             if self.state_of(member.id) is MemberState.READY
         ]
         return tuple(sorted(found))
 
-    def known(self, data_centre: DataCentreName) -> tuple[Member, ...]:
-        """Return every daemon known there, this one included."""
+    def known_members(self, data_centre: DataCentreName) -> tuple[Member, ...]:
+        """Return all known daemons of a data centre, in any state."""
         if data_centre == self.data_centre:
-            return (self._myself(), *self._members_by_id.values())
+            return (self._own_member(), *self._members_by_id.values())
         remote = self._remotes_by_name.get(data_centre)
         return tuple(remote.members_by_id.values()) if remote else ()
 
     def data_centres(self) -> tuple[DataCentreName, ...]:
-        """Return every data centre known, this one first."""
+        """Return all known data centres: the local one, then by name."""
         return (self.data_centre, *sorted(self._remotes_by_name))
 
-    def distance_to(self, data_centre: DataCentreName) -> float:
-        """Return the round trip in seconds; infinite if not measured."""
+    def round_trip_to(self, data_centre: DataCentreName) -> float:
+        """Return the round-trip time in seconds; infinite if unmeasured."""
         if data_centre == self.data_centre:
             return 0.0
         remote = self._remotes_by_name.get(data_centre)
-        return remote.distance_s if remote else math.inf
+        return remote.round_trip_s if remote else math.inf
 
     def state_of(self, daemon: DaemonId) -> MemberState:
-        """Return the state of a daemon; one never heard of is gone."""
+        """Return the state of a daemon; an unknown one is GONE.
+
+        Daemons of a data centre without a fresh summary are SUSPECTED.
+        """
         if daemon == self.daemon:
             return self.state
         member = self._members_by_id.get(daemon)
         if member is not None:
-            return member.observed
+            return member.effective_state
         now = anyio.current_time()
         for remote in self._remotes_by_name.values():
             member = remote.members_by_id.get(daemon)
             if member is not None:
                 is_stale = remote.is_stale(now)
-                return MemberState.SUSPECTED if is_stale else member.observed
+                return (
+                    MemberState.SUSPECTED
+                    if is_stale
+                    else member.effective_state
+                )
         return MemberState.GONE
 
     def is_gone(self, daemon: DaemonId) -> bool:
-        """Tell whether a daemon is gone for good."""
+        """Return whether a daemon is gone or unknown."""
         return self.state_of(daemon) is MemberState.GONE
 
     def data_centre_of(self, daemon: DaemonId) -> DataCentreName | None:
-        """Return where a daemon is."""
+        """Return the data centre of a daemon; None if it is unknown."""
         if daemon == self.daemon or daemon in self._members_by_id:
             return self.data_centre
         for name, remote in self._remotes_by_name.items():
@@ -134,15 +143,16 @@
         return None
 
     def versions_by_daemon(self) -> dict[str, int]:
-        """Return versions held: local daemons, other data centres.
+        """Return configuration versions by local daemon and data centre.
 
-        Of another data centre it is the lowest of its ready daemons.
-        Those that are suspected are left out.
+        The version of another data centre is the lowest of its ready
+        daemons. Local daemons that are not ready and data centres without
+        a fresh summary or a ready daemon are left out.
         """
         now = anyio.current_time()
         held: dict[str, int] = {self.daemon: self._version()}
         for member in self._members_by_id.values():
-            if member.observed is MemberState.READY:
+            if member.effective_state is MemberState.READY:
                 held[member.id] = member.version
         for remote in self._remotes_by_name.values():
             if not remote.is_stale(now) and remote.lowest_version >= 0:
@@ -150,38 +160,40 @@
         return held
 
     def local_peers(self) -> tuple[DaemonId, ...]:
-        """Return the other daemons of this data centre."""
+        """Return the other known daemons of this data centre."""
         return tuple(self._members_by_id)
 
     def remote_targets(self) -> tuple[DaemonId, ...]:
-        """Return the peers elsewhere to which this daemon keeps links."""
-        targets = [self._target_in(remote) for remote in self._linked()]
+        """Return the daemon to contact in each linked data centre."""
+        targets = [
+            self._link_target(remote) for remote in self._linked_data_centres()
+        ]
         return tuple(target for target in targets if target is not None)
 
     def is_poller(self) -> bool:
-        """Tell whether this daemon asks the table for its data centre."""
-        ranked = rank(self._live_here(), f'poller {self.data_centre}')
+        """Return whether this daemon polls on behalf of its data centre."""
+        ranked = rank(self._live_local_daemons(), f'poller {self.data_centre}')
         return ranked[0] == self.daemon
 
-    def listen_versions(self, listener: VersionListener) -> None:
-        """Have the configuration versions of peers told as they come."""
+    def add_version_listener(self, listener: VersionListener) -> None:
+        """Call `listener` with each configuration version a peer sends."""
         self._listeners.append(listener)
 
-    async def wait_change(self, seen: int) -> int:
-        """Return `changes` once it is above `seen`."""
+    async def wait_for_change(self, seen: int) -> int:
+        """Wait until `changes` exceeds `seen`; return it."""
         while self.changes <= seen:
             await self._changed.wait()
         return self.changes
 
-    async def wait_held(self, version: int) -> None:
-        """Return once all reachable ready daemons hold a version."""
+    async def wait_for_version(self, version: int) -> None:
+        """Wait until all reachable ready daemons hold a version."""
         while min(self.versions_by_daemon().values()) < version:
             await self._versions_changed.wait()
 
-    def _record(self) -> MemberRecord:
-        return self._myself().as_record()
+    def _own_record(self) -> MemberRecord:
+        return self._own_member().as_record()
 
-    def _myself(self) -> Member:
+    def _own_member(self) -> Member:
         return Member(
             id=self.daemon,
             data_centre=self.data_centre,
@@ -189,7 +201,7 @@
             caller_address=self._caller_address(),
             incarnation=self.incarnation,
             state=self.state,
-            heard_at=anyio.current_time(),
+            last_seen_at=anyio.current_time(),
             version=self._version(),
             load=self._load(),
         )
@@ -197,7 +209,7 @@
     def _heartbeat(self) -> Heartbeat:
         now = anyio.current_time()
         return Heartbeat(
-            sender=self._record(),
+            sender=self._own_record(),
             configuration_version=self._version(),
             load=self._load(),
             suspects=[
@@ -205,12 +217,15 @@
                 for member in self._members_by_id.values()
                 if member.is_suspected
             ],
-            summaries=[remote.as_summary(now) for remote in self._linked()],
+            summaries=[
+                remote.as_summary(now)
+                for remote in self._linked_data_centres()
+            ],
         )
 
     def _own_summary(self) -> DataCentreSummary:
-        members = self.known(self.data_centre)
-        ready = [m for m in members if m.observed is MemberState.READY]
+        members = self.known_members(self.data_centre)
+        ready = [m for m in members if m.effective_state is MemberState.READY]
         return DataCentreSummary(
             data_centre=self.data_centre,
             configuration_version=self._version(),
@@ -219,31 +234,35 @@
             load=sum(m.load for m in ready) // max(1, len(ready)),
         )
 
-    def _live_here(self) -> list[DaemonId]:
+    def _live_local_daemons(self) -> list[DaemonId]:
         live = [
             member.id
             for member in self._members_by_id.values()
-            if member.observed in (MemberState.READY, MemberState.JOINING)
+            if member.effective_state
+            in (MemberState.READY, MemberState.JOINING)
         ]
         return [self.daemon, *live]
 
-    def _linked(self) -> list[RemoteDataCentre]:
-        """Return the data centres to which this daemon keeps a link."""
-        # Ranking 11 daemons for 31 data centres at each heartbeat took
-        # more time than everything else in it.
+    def _linked_data_centres(self) -> list[RemoteDataCentre]:
+        """Return the data centres with which this daemon exchanges summaries.
+
+        The result is cached until the membership changes.
+        """
+        # Without the cache, ranking 11 daemons for 31 data centres takes
+        # most of the time of each heartbeat.
         state = (self.changes, len(self._remotes_by_name))
-        if self._linked_at != state:
-            live = self._live_here()
-            self._linked_at = state
-            self._linked_now = [
+        if self._links_cache_key != state:
+            live = self._live_local_daemons()
+            self._links_cache_key = state
+            self._links_cache = [
                 remote
                 for remote in self._remotes_by_name.values()
                 if self.daemon
                 in rank(live, remote.name)[:LINKS_PER_DATA_CENTRE]
             ]
-        return self._linked_now
+        return self._links_cache
 
-    def _target_in(self, remote: RemoteDataCentre) -> DaemonId | None:
+    def _link_target(self, remote: RemoteDataCentre) -> DaemonId | None:
         now = anyio.current_time()
         candidates = [
             member.id
@@ -252,17 +271,19 @@
         ]
         ranked = rank(candidates, self.daemon)
         for daemon in ranked:
-            if self._avoided_until.get(daemon, 0.0) <= now:
+            if self._unreachable_until.get(daemon, 0.0) <= now:
                 return daemon
         return ranked[0] if ranked else None
 
-    def _tell_version(self, daemon: DaemonId, version: int) -> None:
+    def _notify_version_listeners(
+        self, daemon: DaemonId, version: int
+    ) -> None:
         self._versions_changed.set()
         self._versions_changed = anyio.Event()
         for listener in self._listeners:
             listener(daemon, version)
 
-    def _note_change(self) -> None:
+    def _record_change(self) -> None:
         self.changes += 1
         self._changed.set()
         self._changed = anyio.Event()
--- a/packages/mimosamux-daemon/mimosamux_daemon/control/members.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/control/members.py
@@ -1,4 +1,8 @@
-"""What one daemon knows of the others: states, no I/O."""
+"""State of other daemons and data centres, without I/O.
+
+Daemons are suspected once their heartbeats stay out for longer than the
+usual interval and its deviation explain.
+"""
 
 import math
 from collections.abc import Iterable
@@ -12,21 +16,26 @@
 
 SUSPECT_MIN_S = 3.0
 SUSPECT_MAX_S = 10.0
-DEVIATIONS = 4.0
-"""Silence above mean and so many deviations of the interval is suspect."""
+EXPECTED_DEVIATIONS = 4.0
+"""The longest expected heartbeat interval is the mean plus this many
+deviations; a daemon is suspected after twice that interval."""
 INTERVAL_WEIGHT = 0.1
 """Weight of the newest interval in the moving mean and deviation."""
-DISTANCE_WEIGHT = 0.1
+ROUND_TRIP_WEIGHT = 0.1
+"""Weight of the newest round-trip time in the moving average."""
 GONE_AFTER_S = 10.0
-"""A daemon that was suspected for so long is gone."""
+"""A daemon that has been suspected for this long counts as gone."""
 REMOTE_STALE_S = 8.0
-"""A data centre not heard of for so long is suspected as a whole."""
-FETCH_PAUSE_S = 1.0
+"""All daemons of a data centre whose newest summary is older than this are
+suspected."""
+MIN_FETCH_INTERVAL_S = 1.0
+"""Minimum time between two fetches of the members of a data centre."""
 LINKS_PER_DATA_CENTRE = 2
+"""Daemons of this data centre that exchange summaries with each other one."""
 
 
 class MemberState(IntEnum):
-    """State of a daemon; the numbers go over the wire."""
+    """State of a daemon; messages carry the numbers."""
 
     JOINING = 1
     READY = 2
@@ -37,7 +46,7 @@
 
 @dataclass(kw_only=True, slots=True)
 class Member:
-    """A daemon as this one knows it."""
+    """Another daemon, as this daemon knows it."""
 
     id: DaemonId
     data_centre: DataCentreName
@@ -45,127 +54,147 @@
     caller_address: str
     incarnation: int
     state: MemberState
-    """As the daemon itself, or one of its data centre, stated it."""
-    heard_at: float
+    """State that the daemon, or another of its data centre, announced."""
+    last_seen_at: float
+    """Time of the last heartbeat, or at which the daemon became known."""
     version: int = 0
+    """Configuration version that the daemon holds."""
     load: int = 0
+    """Load in thousandths of the daemon's capacity."""
     is_suspected: bool = False
     interval_s: float = 1.0
+    """Moving mean of the time between two heartbeats."""
     deviation_s: float = 0.1
+    """Moving mean of the deviation from `interval_s`."""
 
     @property
     def suspect_after_s(self) -> float:
-        """Silence after which the daemon is suspected."""
-        usual = self.interval_s + DEVIATIONS * self.deviation_s
-        return min(SUSPECT_MAX_S, max(SUSPECT_MIN_S, 2 * usual))
+        """Time without a heartbeat after which the daemon is suspected."""
+        expected_s = self.interval_s + EXPECTED_DEVIATIONS * self.deviation_s
+        return min(SUSPECT_MAX_S, max(SUSPECT_MIN_S, 2 * expected_s))
 
     @property
-    def observed(self) -> MemberState:
-        """The state with what was observed from here."""
+    def effective_state(self) -> MemberState:
+        """The announced state, or SUSPECTED if this daemon suspects it."""
         return MemberState.SUSPECTED if self.is_suspected else self.state
 
-    def hear(self, now: float) -> None:
-        """Note a sign of life."""
+    def record_heartbeat(self, now: float) -> None:
+        """Record a heartbeat; it ends a suspicion.
+
+        The interval that spans a suspicion is not averaged.
+        """
         if not self.is_suspected:
-            interval = now - self.heard_at
-            off = abs(interval - self.interval_s)
-            self.interval_s += INTERVAL_WEIGHT * (interval - self.interval_s)
-            self.deviation_s += INTERVAL_WEIGHT * (off - self.deviation_s)
+            observed_s = now - self.last_seen_at
+            deviation = abs(observed_s - self.interval_s)
+            self.interval_s += INTERVAL_WEIGHT * (observed_s - self.interval_s)
+            self.deviation_s += INTERVAL_WEIGHT * (
+                deviation - self.deviation_s
+            )
         self.is_suspected = False
-        self.heard_at = now
+        self.last_seen_at = now
 
     def as_record(self) -> MemberRecord:
-        """Return the member as messages state it."""
+        """Encode the member for messages."""
         return MemberRecord(
             id=self.id,
             data_centre=self.data_centre,
             address=self.address,
             caller_address=self.caller_address,
             incarnation=self.incarnation,
-            state=self.observed,
+            state=self.effective_state,
         )
 
 
 @dataclass(kw_only=True, slots=True)
 class RemoteDataCentre:
-    """Another data centre as its summaries describe it."""
+    """Another data centre, as its summaries describe it."""
 
     name: DataCentreName
-    heard_at: float = -math.inf
+    last_seen_at: float = -math.inf
+    """Time at which the newest summary was made, on this daemon's clock."""
     version: int = 0
+    """Highest configuration version that any summary stated."""
     lowest_version: int = 0
+    """Lowest configuration version of its ready daemons; -1 if none is."""
     members_digest: int = 0
-    """As the newest summary states it."""
+    """Hash of its members that the newest summary states."""
     load: int = 0
-    distance_s: float = math.inf
-    """Smoothed round trip to it from this data centre."""
+    """Mean load of its ready daemons, in thousandths of capacity."""
+    round_trip_s: float = math.inf
+    """Moving average of the round-trip time from this data centre."""
     members_by_id: dict[DaemonId, Member] = field(default_factory=dict)
-    held_digest: int = 0
-    """Of the members that are held."""
-    fetched_at: float = -math.inf
-    """When members were last asked for."""
+    known_digest: int = 0
+    """Hash of `members_by_id`."""
+    fetch_started_at: float = -math.inf
+    """Time at which the last fetch of its members began."""
 
-    def wants_members(self, now: float) -> bool:
-        """Tell whether to fetch the members that a summary announced.
+    def needs_members(self, now: float) -> bool:
+        """Return whether to fetch the members again.
 
-        Daemons there may disagree for a while, so that the digest goes
-        back and forth; without a pause each summary would cost a fetch.
+        Daemons there may disagree for a while, so that the digest
+        alternates between two values. Without a minimum interval, each
+        summary would then cause a fetch.
         """
-        is_new = self.members_digest != self.held_digest
-        return is_new and now - self.fetched_at >= FETCH_PAUSE_S
+        is_new = self.members_digest != self.known_digest
+        return is_new and now - self.fetch_started_at >= MIN_FETCH_INTERVAL_S
 
-    def take_members(self, members: Iterable[Member]) -> None:
-        """Hold these members in place of those held before."""
+    def replace_members(self, members: Iterable[Member]) -> None:
+        """Replace the known members."""
         self.members_by_id = {member.id: member for member in members}
-        self.held_digest = digest_members(self.members_by_id.values())
+        self.known_digest = digest_members(self.members_by_id.values())
 
     def is_stale(self, now: float) -> bool:
-        """Tell whether the data centre was not heard of for too long."""
-        return now - self.heard_at > REMOTE_STALE_S
-
-    def note_distance(self, seconds: float) -> None:
-        """Note a measured round trip."""
-        if math.isinf(self.distance_s):
-            self.distance_s = seconds
-        self.distance_s += DISTANCE_WEIGHT * (seconds - self.distance_s)
-
-    def take_summary(self, summary: DataCentreSummary, now: float) -> None:
-        """Take a summary unless a fresher one is held."""
-        stated_at = now - summary.age_ms / 1000
+        """Return whether the newest summary is too old."""
+        return now - self.last_seen_at > REMOTE_STALE_S
+
+    def record_round_trip(self, seconds: float) -> None:
+        """Add a measured round-trip time to the moving average."""
+        if math.isinf(self.round_trip_s):
+            self.round_trip_s = seconds
+        self.round_trip_s += ROUND_TRIP_WEIGHT * (seconds - self.round_trip_s)
+
+    def apply_summary(self, summary: DataCentreSummary, now: float) -> None:
+        """Apply a summary, unless a newer one has been applied.
+
+        The configuration version only increases, so that of an older
+        summary is applied too.
+        """
+        summarised_at = now - summary.age_ms / 1000
         self.version = max(self.version, summary.configuration_version)
-        if stated_at < self.heard_at:
+        if summarised_at < self.last_seen_at:
             return
-        self.heard_at = stated_at
+        self.last_seen_at = summarised_at
         self.lowest_version = summary.lowest_version
         self.members_digest = summary.members_digest
         self.load = summary.load
         if summary.distance_us:
-            self.note_distance(summary.distance_us / 1e6)
+            self.record_round_trip(summary.distance_us / 1e6)
 
     def as_summary(self, now: float) -> DataCentreSummary:
-        """Return what is known, with its age."""
+        """Return a summary to forward, with its age."""
         return DataCentreSummary(
             data_centre=self.name,
-            age_ms=int(min(now - self.heard_at, 1_000_000) * 1000),
+            age_ms=int(min(now - self.last_seen_at, 1_000_000) * 1000),
             configuration_version=self.version,
             lowest_version=self.lowest_version,
-            # Of what is held, not of what was stated: others fetch here.
-            members_digest=self.held_digest,
+            # The hash of the known members, not the announced one: the
+            # receiver fetches the members from this daemon.
+            members_digest=self.known_digest,
             load=self.load,
             distance_us=(
                 0
-                if math.isinf(self.distance_s)
-                else max(1, int(self.distance_s * 1e6))
+                if math.isinf(self.round_trip_s)
+                else max(1, int(self.round_trip_s * 1e6))
             ),
         )
 
 
 def parse_member(record: MemberRecord, now: float) -> Member | None:
-    """Return the member that a record states, None if it states none."""
+    """Decode a member from a message; None if the record is invalid."""
     try:
         state = MemberState(record.state)
     except ValueError:
-        # A newer daemon may know more states; it is alive at least.
+        # A newer release may define more states; the daemon is alive.
         state = MemberState.JOINING
     if not record.id or not record.data_centre or ':' not in record.address:
         return None
@@ -176,23 +205,23 @@
         caller_address=record.caller_address,
         incarnation=record.incarnation,
         state=state,
-        heard_at=now,
+        last_seen_at=now,
     )
 
 
 def digest_members(members: Iterable[Member]) -> int:
-    """Return a hash of all that other data centres need to know."""
+    """Return a hash of the fields that other data centres need."""
     parts = sorted(
-        f'{member.id} {member.incarnation} {member.observed:d}'
+        f'{member.id} {member.incarnation} {member.effective_state:d}'
         f' {member.address} {member.caller_address}'
         for member in members
     )
-    # Thrift's integers are signed; one bit less keeps it positive.
+    # Thrift integers are signed; 63 bits keep the hash positive.
     return xxhash.xxh3_64_intdigest('\n'.join(parts).encode()) >> 1
 
 
 def rank(candidates: Iterable[DaemonId], key: str) -> list[DaemonId]:
-    """Return candidates by rendezvous hash with `key`, best first."""
+    """Sort candidates by rendezvous hash with `key`, best first."""
     return sorted(
         candidates,
         key=lambda daemon: xxhash.xxh3_64_intdigest(
--- a/packages/mimosamux-daemon/mimosamux_daemon/control/round_trips.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/control/one_way_delays.py
@@ -1,4 +1,4 @@
-"""One-way times to data centres, as the heartbeats measure them."""
+"""One-way network delays to data centres, from measured round trips."""
 
 import math
 from collections.abc import Iterator, Mapping
@@ -7,14 +7,18 @@
 from mimosamux_daemon.domain.names import DataCentreName
 
 
-class OneWayTimes(Mapping[DataCentreName, float]):
-    """Half of each measured round trip, in seconds."""
+class OneWayDelays(Mapping[DataCentreName, float]):
+    """Half of the round-trip time to each data centre, in seconds.
+
+    Iteration yields all known data centres; look-up of one whose round
+    trip has not been measured raises `KeyError`.
+    """
 
     def __init__(self, *, membership: Membership) -> None:
         self._membership = membership
 
     def __getitem__(self, data_centre: DataCentreName) -> float:
-        round_trip_s = self._membership.distance_to(data_centre)
+        round_trip_s = self._membership.round_trip_to(data_centre)
         if math.isinf(round_trip_s):
             raise KeyError(data_centre)
         return round_trip_s / 2
--- a/packages/mimosamux-daemon/mimosamux_daemon/daemon.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/daemon.py
@@ -239,7 +239,7 @@
     serving = parts.serving
     return StopParts(
         leave=parts.control.membership.leave,
-        has_peers=serving.targets.has_any,
+        has_peers=serving.targets.has_targets,
         drained_at=lambda: parts.control.discovery.drained_at,
         open_requests=lambda: sum(1 for _ in serving.registry.open_requests()),
         hand_over=serving.handover.hand_over,
--- a/packages/mimosamux-daemon/mimosamux_daemon/serving_parts.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/serving_parts.py
@@ -9,9 +9,9 @@
 from mimosamux_daemon.control.endpoints import EndpointKeeper
 from mimosamux_daemon.control.handover_targets import MembershipTargets
 from mimosamux_daemon.control.journal_claims import JournalClaims
+from mimosamux_daemon.control.one_way_delays import OneWayDelays
 from mimosamux_daemon.control.ownership import Ownership
 from mimosamux_daemon.control.planning_exchange import PlanningNews
-from mimosamux_daemon.control.round_trips import OneWayTimes
 from mimosamux_daemon.control.store_guard import GuardedObjectStore
 from mimosamux_daemon.control_parts import ControlParts, guard_table
 from mimosamux_daemon.domain.names import (
@@ -90,7 +90,7 @@
         prices=prices,
         distances=Distances(
             own=settings.data_centre,
-            one_way_s_by_data_centre=OneWayTimes(membership=membership),
+            one_way_s_by_data_centre=OneWayDelays(membership=membership),
         ),
         configuration=lambda: control.in_force.current,
         metrics=metrics,
@@ -247,5 +247,6 @@
 def _count_daemons(control: ControlParts) -> int:
     membership = control.membership
     return sum(
-        len(membership.known(name)) for name in membership.data_centres()
+        len(membership.known_members(name))
+        for name in membership.data_centres()
     )
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -7,7 +7,7 @@
 import httpx
 from mimosamux_daemon.api.discovery import DiscoveryRoutes
 from mimosamux_daemon.control.discovery import (
-    KNOWN_EVERYWHERE_S,
+    LEAVE_PROPAGATION_S,
     Discovery,
 )
 from starlette.applications import Starlette
@@ -105,7 +105,7 @@
             leaving = cluster.nodes_by_name['one-1']
             await leaving.membership.leave()
             cluster.kill('one-2')
-            await anyio.sleep(KNOWN_EVERYWHERE_S + 4)
+            await anyio.sleep(LEAVE_PROPAGATION_S + 4)
             for node in cluster.nodes:
                 for number in range(20):
                     answer = ask(node, f'account-{number}')
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -7,7 +7,7 @@
 import anyio
 from mimosamux_daemon.control.members import MemberState
 from mimosamux_daemon.control.membership import Membership
-from mimosamux_daemon.control.round_trips import OneWayTimes
+from mimosamux_daemon.control.one_way_delays import OneWayDelays
 from mimosamux_daemon.settings import PeerAddress
 from mimosamux_wire import Superseded
 
@@ -49,7 +49,7 @@
     seen = node.membership.changes
     with anyio.move_on_after(5):
         while True:
-            seen = await node.membership.wait_change(seen)
+            seen = await node.membership.wait_for_change(seen)
             for name in others:
                 if node.membership.state_of(name) is not MemberState.READY:
                     raise AssertionError(f'the woken daemon suspects {name}')
@@ -143,7 +143,7 @@
         """A variant without the grace after a pause fails the check."""
 
         class Unforgiving(Membership):
-            def _forgive(self, late_s):
+            def _compensate_pause(self, pause_s):
                 pass
 
         with self.assertRaises(ExceptionGroup) as caught:
@@ -171,11 +171,11 @@
             other = cluster.nodes_by_name['one-1'].membership
             old.peers.resume()
             heartbeat = old.membership._heartbeat()
-            await other._take_heartbeat('one-3', heartbeat)
-            held = {m.id: m for m in other.known('one')}
+            await other._handle_heartbeat('one-3', heartbeat)
+            held = {m.id: m for m in other.known_members('one')}
             self.assertEqual(held['one-3'].incarnation, incarnation)
             self.assertFalse(new.membership.superseded.is_set())
-            await old.membership._take_superseded(
+            await old.membership._handle_superseded(
                 'one-1', Superseded(incarnation=incarnation)
             )
             self.assertTrue(old.membership.superseded.is_set())
@@ -270,9 +270,9 @@
 
 class TestOneWayTimes(unittest.TestCase):
     def test_half_of_a_measured_round_trip_and_none_without_one(self):
-        times = OneWayTimes(
+        times = OneWayDelays(
             membership=SimpleNamespace(
-                distance_to={'near': 0.004, 'unknown': math.inf}.__getitem__,
+                round_trip_to={'near': 0.004, 'unknown': math.inf}.__getitem__,
                 data_centres=lambda: ('near', 'unknown'),
             )
         )
