--- a/benchmarks/decisions/day.py
+++ b/benchmarks/decisions/day.py
@@ -25,7 +25,7 @@
 from mimosamux_daemon.control.capacity import CapacityPolicy
 from mimosamux_daemon.control.ceilings import Ceilings
 from mimosamux_daemon.control.demand import DemandMeter, DemandPolicy
-from mimosamux_daemon.control.endpoints import EndpointKeeper, PollPolicy
+from mimosamux_daemon.control.endpoints import EndpointPoller, PollPolicy
 from mimosamux_daemon.control.planner import PlannerPolicy
 from mimosamux_daemon.control.planning import PlanningPolicy
 from mimosamux_daemon.control.planning_exchange import PlanningNews
@@ -146,7 +146,7 @@
         self.prices = PriceBook()
         self.network = MemoryNetwork()
         self.meter = DemandMeter(policy=tuning.demand)
-        self.keeper = EndpointKeeper(
+        self.keeper = EndpointPoller(
             cloud=self.cloud,
             fleet=self.fleet,
             prices=self.prices,
--- a/packages/mimosamux-daemon/mimosamux_daemon/control/build_planner.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/control/build_planner.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 
 from mimosamux_daemon.control.backoff import Backoff
-from mimosamux_daemon.control.drains import Drains
+from mimosamux_daemon.control.drains import EndpointDrainer
 from mimosamux_daemon.control.lease_keeper import LeaseKeeper
 from mimosamux_daemon.control.leases import LeasePolicy, LeaseTable
 from mimosamux_daemon.control.order_rows import VMOrder
@@ -66,7 +66,7 @@
     site: PlannerSite,
     ports: PlannerPorts,
     news: PlanningNews,
-    drains: Drains,
+    drains: EndpointDrainer,
     configuration: Callable[[], Configuration],
     wall_clock: Callable[[], float],
     randomness: random.Random,
--- a/packages/mimosamux-daemon/mimosamux_daemon/control/cache_news.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/control/cache_changes.py
@@ -1,4 +1,4 @@
-"""Which prefix-cache keys a digest names, and how they are packed."""
+"""Selects and encodes the prefix-cache keys that a digest carries."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
@@ -7,16 +7,17 @@
 from mimosamux_daemon.serving.prefix_cache import KEY_MASK
 
 KEY_BYTES = 5
+"""Size of an encoded key."""
 
 
 def pack_keys(keys: Iterable[int]) -> bytes | None:
-    """Return keys as bytes, None where there are none."""
+    """Encode keys as little-endian integers; None if there are none."""
     packed = b''.join(key.to_bytes(KEY_BYTES, 'little') for key in keys)
     return packed or None
 
 
 def unpack_keys(packed: bytes | None) -> list[int]:
-    """Return the keys that bytes stand for."""
+    """Decode the keys that `pack_keys` encoded."""
     if not packed:
         return []
     return [
@@ -26,14 +27,17 @@
 
 
 @dataclass(kw_only=True, slots=True)
-class CacheNews:
-    """Blocks of one endpoint that came and went since the last digest."""
+class CacheChanges:
+    """Keys of one endpoint stored and evicted since the last digest.
+
+    The dicts serve as ordered sets.
+    """
 
     stored: dict[int, None] = field(default_factory=dict)
     evicted: dict[int, None] = field(default_factory=dict)
 
     def note(self, event: CacheEvent) -> None:
-        """Add an event; what is stored and evicted again cancels out."""
+        """Merge an event; a key stored and then evicted cancels out."""
         for block in event.stored:
             key = block & KEY_MASK
             self.evicted.pop(key, None)
@@ -46,21 +50,22 @@
                 self.evicted[key] = None
 
 
-def find_mask(keys: Iterable[int], limit: int) -> int:
-    """Return a mask of low bits so that `limit` keys at most have none.
+def find_sampling_mask(keys: Iterable[int], limit: int) -> int:
+    """Return a mask of low bits that samples at most `limit` keys.
 
-    Every daemon takes the same keys under the same mask, and the keys
-    under a longer mask are among those under a shorter one.
+    A key is in the sample if none of its bits under the mask is set. All
+    daemons thus sample the same keys with the same mask, and the sample
+    of a longer mask is a subset of that of a shorter one.
     """
-    left = list(keys)
+    sampled = list(keys)
     mask = 0
-    while len(left) > limit and mask < KEY_MASK:
+    while len(sampled) > limit and mask < KEY_MASK:
         mask = mask << 1 | 1
-        left = [key for key in left if not key & mask]
+        sampled = [key for key in sampled if not key & mask]
     return mask
 
 
 def sample_keys(keys: tuple[int, ...], limit: int) -> list[int]:
-    """Return `limit` keys at most, the same ones at every daemon."""
-    mask = find_mask(keys, limit)
+    """Return a sample of at most `limit` keys, the same at every daemon."""
+    mask = find_sampling_mask(keys, limit)
     return [key for key in keys if not key & mask]
--- a/packages/mimosamux-daemon/mimosamux_daemon/control/digests.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/control/digests.py
@@ -12,10 +12,10 @@
 import anyio
 from mimosamux_wire import AccountUse, EndpointDigest, FleetDigest
 
-from mimosamux_daemon.control.cache_news import (
+from mimosamux_daemon.control.cache_changes import (
     KEY_BYTES,
-    CacheNews,
-    find_mask,
+    CacheChanges,
+    find_sampling_mask,
     pack_keys,
     sample_keys,
     unpack_keys,
@@ -94,7 +94,7 @@
         self._sequence = 0
         self._written_at: float | None = None
         self._reported_ids: dict[EndpointId, None] = {}
-        self._cache_changes_by_id: dict[EndpointId, CacheNews] = {}
+        self._cache_changes_by_id: dict[EndpointId, CacheChanges] = {}
         self._sent_capacity_by_id: dict[EndpointId, EngineCapacity] = {}
         self._sent_doubt_by_id: dict[EndpointId, bool] = {}
 
@@ -104,7 +104,7 @@
             self._reported_ids[report.endpoint] = None
             return
         cache_changes = self._cache_changes_by_id.setdefault(
-            report.endpoint, CacheNews()
+            report.endpoint, CacheChanges()
         )
         cache_changes.note(report)
 
@@ -204,7 +204,7 @@
             for key in (*cache_changes.stored, *cache_changes.evicted)
         ]
         limit = max(bytes_left // KEY_BYTES, MIN_CACHE_KEYS)
-        mask = find_mask(keys, limit)
+        mask = find_sampling_mask(keys, limit)
         for id_, cache_changes in self._cache_changes_by_id.items():
             if id_ not in self._fleet.by_id:
                 continue
--- a/packages/mimosamux-daemon/mimosamux_daemon/control/drains.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/control/drains.py
@@ -1,4 +1,4 @@
-"""Drains: no VM is stopped while work is on it."""
+"""Drains endpoints so that no VM is stopped while it serves requests."""
 
 from collections.abc import Awaitable, Callable
 from typing import Protocol
@@ -8,27 +8,28 @@
 from mimosamux_daemon.domain.names import EndpointId
 from mimosamux_daemon.serving.fleet import EndpointState, Fleet
 
-POLL_S = 0.5
-QUIET_S = 5.0
-"""Time after which no daemon sends new work to a leaving endpoint."""
-LIMIT_S = 600.0
-"""Time given to requests on the endpoint to end there."""
-FRESH_REPORTS = 2
-"""Reports that have to arrive after the quiet time before they count."""
+POLL_INTERVAL_S = 0.5
+"""Interval of the checks whether an endpoint is idle."""
+PROPAGATION_S = 5.0
+"""Time within which all daemons stop sending to a leaving endpoint."""
+DRAIN_TIMEOUT_S = 600.0
+"""Maximum time to wait for requests on the endpoint to complete."""
+MIN_FRESH_REPORTS = 2
+"""Load reports that have to follow `PROPAGATION_S` before one is trusted."""
 
 
-class Drains(Protocol):
-    """Brings all work off an endpoint."""
+class EndpointDrainer(Protocol):
+    """Drains endpoints."""
 
     async def drain(self, endpoint: EndpointId) -> None:
-        """Send no new work there; return once no work is left on it."""
+        """Stop new requests to an endpoint; return once it is idle."""
 
 
-class FleetDrains:
-    """Drains that the fleet's own reports tell the end of.
+class FleetDrainer:
+    """Detects the end of a drain from the load reports of the engine.
 
-    The load report of the engine counts the requests of every daemon, so
-    one daemon can tell the end without asking all the others.
+    A load report counts the requests of all daemons, so one daemon can
+    detect the end without querying the others.
     """
 
     def __init__(
@@ -37,31 +38,37 @@
         fleet: Fleet,
         announce: Callable[[dict[EndpointId, float]], Awaitable[None]],
     ) -> None:
-        """Take `announce`, which marks endpoints as leaving everywhere."""
+        """Set up; `announce` marks endpoints as leaving at all daemons.
+
+        It takes the seconds left by endpoint.
+        """
         self._fleet = fleet
         self._announce = announce
 
     async def drain(self, endpoint: EndpointId) -> None:
-        """Send no new work there; return once no work is left on it."""
+        """Stop new requests to an endpoint; return once it is idle.
+
+        Also returns after `DRAIN_TIMEOUT_S`, whatever is left.
+        """
         state = self._fleet.by_id.get(endpoint)
         if state is None:
             return
-        await self._announce({endpoint: LIMIT_S})
-        await anyio.sleep(QUIET_S)
-        first = state.report.sequence if state.report else 0
-        with anyio.move_on_after(LIMIT_S):
+        await self._announce({endpoint: DRAIN_TIMEOUT_S})
+        await anyio.sleep(PROPAGATION_S)
+        first_sequence = state.report.sequence if state.report else 0
+        with anyio.move_on_after(DRAIN_TIMEOUT_S):
             while True:
-                if _is_idle(state, first):
+                if _is_idle(state, first_sequence):
                     return
-                await anyio.sleep(POLL_S)
+                await anyio.sleep(POLL_INTERVAL_S)
 
 
-def _is_idle(state: EndpointState, first: int) -> bool:
+def _is_idle(state: EndpointState, first_sequence: int) -> bool:
     if state.open_by_request:
         return False
     report = state.report
-    if report is None or report.sequence < first + FRESH_REPORTS:
-        # Without a report the work of other daemons cannot be seen, and
-        # a stop would cut their requests off: the limit is waited out.
+    if report is None or report.sequence < first_sequence + MIN_FRESH_REPORTS:
+        # Without a fresh report the requests of other daemons are unknown
+        # and a stop could cut them off, so the drain waits for its limit.
         return False
     return not report.running and not report.waiting
--- a/packages/mimosamux-daemon/mimosamux_daemon/control/endpoints.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/control/endpoints.py
@@ -1,4 +1,4 @@
-"""Keeps the fleet in step with the platform's lagging list of VMs."""
+"""Synchronises the fleet with the platform's eventually consistent VM list."""
 
 from collections import Counter
 from collections.abc import Awaitable, Callable
@@ -25,40 +25,42 @@
 
 log = get_log('endpoints')
 
-PUSH_TIMEOUT_S = 1.0
+NOTIFY_TIMEOUT_S = 1.0
 LIST_BYTES_PER_VM = 241
-"""Size of one VM in a list over HTTP (`python -m benchmarks owner`)."""
+"""Bytes per VM in a list over HTTP (`python -m benchmarks owner`)."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class PollPolicy:
-    """Intervals and limits of the polls, in seconds."""
+    """Intervals and limits of the polls."""
 
     notices_s: float = 1.0
-    """Interval of the one daemon of a data centre that polls for all."""
+    """Interval of notice polls of the one poller of a data centre."""
     backup_notices_s: float = 2.5
-    """Interval of the others, for when that one has just died."""
+    """Interval of notice polls of the others, in case the poller has died."""
     list_s: float = 2.0
+    """Minimum interval of VM list polls."""
     list_bytes_per_s: float = 8_000.0
-    """Most that the lists may take; long lists are asked for less often,
-    as every second of them at 375 endpoints would exceed the budget of a
-    daemon for all control."""
+    """Bandwidth limit for VM lists; long lists are polled less often. At
+    375 endpoints, polling every second would exceed a daemon's budget for
+    all control traffic."""
     prices_s: float = 30.0
+    """Interval of price polls."""
     timeout_s: float = 1.5
-    """Longest wait for an answer of the platform."""
+    """Time-out of a poll."""
     gone_after_s: float = 10.0
-    """Time for which a VM has to be missing from every list."""
+    """Time for which a VM has to be missing from all lists to be dropped."""
     gone_after_lists: int = 3
-    """Lists in a row that a VM has to be missing from."""
+    """Consecutive lists from which it has to be missing as well."""
     leaving_s: float = 30.0
-    """Time left to a VM that is listed as leaving without a notice."""
-    remember_left_s: float = 600.0
-    """Time for which a VM that left is not taken back from a list."""
+    """Assumed time left of a VM listed as leaving without a notice."""
+    left_retention_s: float = 600.0
+    """Time for which lists cannot add a VM again that has left."""
 
 
 @dataclass(kw_only=True, slots=True)
-class Missing:
-    """Since when, and from how many lists, a VM has been missing."""
+class MissingVM:
+    """Start and number of the consecutive lists that a VM is missing from."""
 
     since: float
     lists: int = 0
@@ -72,11 +74,11 @@
     return True
 
 
-class EndpointKeeper:
-    """Adds endpoints that come, marks those that leave, drops the gone.
+class EndpointPoller:
+    """Polls the platform to add, mark as leaving and drop endpoints.
 
-    While the platform does not answer, everything stays as it is: an
-    endpoint that serves is never dropped for a list that cannot be had.
+    While the platform does not answer, the fleet stays unchanged: a
+    serving endpoint is never dropped because a list is unavailable.
     """
 
     def __init__(
@@ -93,7 +95,7 @@
         policy: PollPolicy | None = None,
         metrics: Metrics | None = None,
     ) -> None:
-        """Take the parts; only VMs in `data_centres` are kept, if given."""
+        """Set up; VMs outside `data_centres`, if given, are ignored."""
         self._cloud = cloud
         self._metrics = metrics
         self._fleet = fleet
@@ -105,17 +107,17 @@
         self._data_centres = data_centres
         self._configuration = configuration
         self._policy = PollPolicy() if policy is None else policy
-        self._missing_by_id: dict[EndpointId, Missing] = {}
+        self._missing_by_id: dict[EndpointId, MissingVM] = {}
         self._left_at_by_id: dict[EndpointId, float] = {}
         self._listed: set[EndpointId] = set()
         if peers is not None:
-            peers.handle(LeavingEndpoints, self._take_leaving)
+            peers.handle(LeavingEndpoints, self._handle_leaving)
 
     async def run(self) -> None:
         """Poll until cancelled.
 
-        Each list has its own task: a list of VMs that comes slowly must
-        not hold up the notices, or leaving endpoints would get new work.
+        Each kind of poll has its own task: a slow VM list must not delay
+        the notices, or leaving endpoints would receive new requests.
         """
         policy = self._policy
         async with anyio.create_task_group() as tasks:
@@ -135,7 +137,7 @@
         return max(self._policy.list_s, size / self._policy.list_bytes_per_s)
 
     async def poll_vms(self) -> None:
-        """Take over the list of VMs, if it can be had."""
+        """Apply the list of VMs, if it is available."""
         with anyio.move_on_after(self._policy.timeout_s):
             wanted = self._data_centres() if self._data_centres else ()
             vms = await self._cloud.list_vms(wanted)
@@ -143,11 +145,11 @@
                 log.info('vm_list_unavailable', reason=vms.reason)
                 return
             self._list_length = len(vms)
-            await self._take_vms(vms)
+            await self._apply_vms(vms)
             self._count_endpoints()
 
     async def poll_notices(self) -> None:
-        """Mark the endpoints that notices name, and tell the peers."""
+        """Mark endpoints with reclaim notices as leaving; notify the peers."""
         with anyio.move_on_after(self._policy.timeout_s):
             notices = await self._cloud.list_notices()
             if isinstance(notices, Unavailable):
@@ -160,7 +162,7 @@
             )
 
     async def poll_prices(self) -> None:
-        """Take over the prices, if they can be had."""
+        """Update the prices, if they are available."""
         with anyio.move_on_after(self._policy.timeout_s):
             prices = await self._cloud.list_prices()
             if not isinstance(prices, Unavailable):
@@ -169,22 +171,24 @@
     async def announce_leaving(
         self, seconds_left_by_id: dict[EndpointId, float]
     ) -> None:
-        """Mark endpoints as leaving, and tell the peers of new ones."""
-        new = []
+        """Mark endpoints as leaving; notify the peers of new marks."""
+        newly_marked = []
         for id_, seconds_left in seconds_left_by_id.items():
-            if self._mark(id_, seconds_left):
-                new.append(
+            if self._mark_leaving(id_, seconds_left):
+                newly_marked.append(
                     LeavingEndpoint(
                         endpoint=id_,
                         seconds_left_ms=int(seconds_left * 1000),
                     )
                 )
-        if new and self._peers is not None:
-            await self._push(self._peers, LeavingEndpoints(endpoints=new))
+        if newly_marked and self._peers is not None:
+            await self._notify_peers(
+                self._peers, LeavingEndpoints(endpoints=newly_marked)
+            )
 
-    async def _take_vms(self, vms: tuple[VM, ...]) -> None:
+    async def _apply_vms(self, vms: tuple[VM, ...]) -> None:
         wanted = None if self._data_centres is None else self._data_centres()
-        kept = {
+        relevant = {
             endpoint_of(vm.id): vm
             for vm in vms
             if vm.role is VMRole.ENDPOINT
@@ -192,12 +196,12 @@
             and (wanted is None or vm.data_centre in wanted)
         }
         leaving = {}
-        for id_, vm in kept.items():
+        for id_, vm in relevant.items():
             if vm.state is VMState.LEAVING:
                 leaving[id_] = self._policy.leaving_s
             elif vm.state is VMState.LIVE:
                 self._add(id_, vm)
-        self._drop_gone(kept)
+        self._drop_gone(relevant)
         await self.announce_leaving(leaving)
 
     def _count_endpoints(self) -> None:
@@ -232,25 +236,26 @@
             checks_fencing=spec is not None and spec.checks_fencing,
         )
 
-    def _drop_gone(self, kept: dict[EndpointId, VM]) -> None:
-        """Drop endpoints that are missing for long enough.
+    def _drop_gone(self, relevant: dict[EndpointId, VM]) -> None:
+        """Drop endpoints that have been missing for long enough.
 
-        The list lags and may come from a replica that is behind: a VM
-        that is missing once may well serve, and its streams would be cut.
+        The list lags and may come from a stale replica: a VM that is
+        missing from one list may still serve, and dropping it would cut
+        its streams.
         """
         now = anyio.current_time()
         for id_ in self._listed.copy():
-            if id_ in kept:
+            if id_ in relevant:
                 self._missing_by_id.pop(id_, None)
                 continue
-            missing = self._missing_by_id.setdefault(id_, Missing(since=now))
+            missing = self._missing_by_id.setdefault(id_, MissingVM(since=now))
             missing.lists += 1
             if missing.lists >= self._policy.gone_after_lists and (
                 now - missing.since >= self._policy.gone_after_s
             ):
                 self._drop(id_, now)
         for id_, left_at in list(self._left_at_by_id.items()):
-            if now - left_at >= self._policy.remember_left_s:
+            if now - left_at >= self._policy.left_retention_s:
                 del self._left_at_by_id[id_]
 
     def _drop(self, id_: EndpointId, now: float) -> None:
@@ -260,33 +265,35 @@
         self._fleet.remove(id_)
         log.info('endpoint_gone', endpoint=id_)
 
-    def _mark(self, id_: EndpointId, seconds_left: float) -> bool:
-        """Mark one endpoint; True if this was news.
+    def _mark_leaving(self, id_: EndpointId, seconds_left: float) -> bool:
+        """Mark an endpoint as leaving; return whether it was not yet.
 
-        One that is not known yet is remembered, because the lagging list
-        may show it as live afterwards.
+        An unknown endpoint is recorded too, because a lagging list may
+        show it as live later; its mark counts as not new.
         """
         state = self._fleet.by_id.get(id_)
-        is_news = state is not None and not state.is_leaving
+        is_new = state is not None and not state.is_leaving
         self._left_at_by_id[id_] = anyio.current_time()
         self._fleet.mark_leaving(id_, seconds_left=seconds_left)
-        if is_news:
+        if is_new:
             log.info(
                 'endpoint_leaving', endpoint=id_, seconds_left=seconds_left
             )
-        return is_news
+        return is_new
 
-    async def _push(self, peers: Peers, message: LeavingEndpoints) -> None:
+    async def _notify_peers(
+        self, peers: Peers, message: LeavingEndpoints
+    ) -> None:
         async with anyio.create_task_group() as tasks:
             for peer in self._peer_ids():
                 tasks.start_soon(_notify, peers, peer, message)
 
-    async def _take_leaving(
+    async def _handle_leaving(
         self, sender: DaemonId, message: LeavingEndpoints
     ) -> Message | None:
-        for item in message.endpoints:
-            id_ = EndpointId(item.endpoint)
-            self._mark(id_, item.seconds_left_ms / 1000)
+        for leaving_endpoint in message.endpoints:
+            id_ = EndpointId(leaving_endpoint.endpoint)
+            self._mark_leaving(id_, leaving_endpoint.seconds_left_ms / 1000)
         return None
 
 
@@ -306,5 +313,5 @@
 async def _notify(
     peers: Peers, peer: DaemonId, message: LeavingEndpoints
 ) -> None:
-    with anyio.move_on_after(PUSH_TIMEOUT_S):
+    with anyio.move_on_after(NOTIFY_TIMEOUT_S):
         await peers.notify(peer, message)
--- a/packages/mimosamux-daemon/mimosamux_daemon/control/journal_claims.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/control/journal_claims.py
@@ -1,4 +1,4 @@
-"""Goes on with durable requests whose daemon died."""
+"""Resumes durable requests whose daemon has died."""
 
 import random
 from collections.abc import Awaitable, Callable
@@ -19,22 +19,26 @@
 
 log = get_log('journal_claims')
 
-LOOK_S = 2.0
-"""Interval between two looks at who has gone."""
-SWEEP_LEAST_S = 15.0
-SWEEP_PER_DATA_CENTRE_S = 4.0
-"""A sweep reads a row for each daemon, and each data centre sweeps: the
-interval grows with their number so that the reads a second do not."""
+CHECK_INTERVAL_S = 2.0
+"""Mean interval of the checks for gone daemons."""
+MIN_SWEEP_INTERVAL_S = 15.0
+"""Minimum mean interval of sweeps."""
+SWEEP_INTERVAL_PER_DATA_CENTRE_S = 4.0
+"""Mean sweep interval per data centre. A sweep reads one row per daemon,
+and each data centre sweeps: the interval grows with the number of data
+centres so that the reads per second do not."""
 
-GoOn = Callable[[ModelRequest], Awaitable[None]]
+ResumeRequest = Callable[[ModelRequest], Awaitable[None]]
 
 
 class JournalClaims:
-    """Claims what dead daemons left, one claimer in each data centre.
+    """Claims the journalled requests of dead daemons.
 
-    Daemons that are seen to go are claimed at once. A sweep over the
-    journal finds those that nobody saw go, as when all were replaced
-    together: their requests were accepted and must not be lost.
+    One daemon per data centre, the poller, claims. It claims the requests
+    of a daemon as soon as the membership reports it gone. A sweep over the
+    journal finds daemons whose end no daemon observed, for example when
+    all are replaced at once: their requests were accepted and must not be
+    lost.
     """
 
     def __init__(
@@ -43,47 +47,47 @@
         journal: Journal,
         table: Table,
         membership: Membership,
-        go_on: GoOn,
+        resume_request: ResumeRequest,
         rng: random.Random | None = None,
     ) -> None:
         self._journal = journal
         self._table = table
         self._membership = membership
-        self._go_on = go_on
+        self._resume_request = resume_request
         self._rng = random.Random() if rng is None else rng
-        self._settled: set[DaemonId] = set()
+        self._claimed: set[DaemonId] = set()
 
     async def run(self) -> None:
-        """Look for dead daemons until cancelled."""
-        sweep_at = anyio.current_time() + self._sweep_s()
+        """Claim the requests of dead daemons until cancelled."""
+        next_sweep_at = anyio.current_time() + self._sweep_interval_s()
         while True:
-            await anyio.sleep(LOOK_S * self._rng.uniform(0.8, 1.2))
+            await anyio.sleep(CHECK_INTERVAL_S * self._rng.uniform(0.8, 1.2))
             if not self._membership.is_poller():
                 continue
             await self._claim_gone()
-            if anyio.current_time() >= sweep_at:
+            if anyio.current_time() >= next_sweep_at:
                 await self.sweep()
-                sweep_at = anyio.current_time() + self._sweep_s()
+                next_sweep_at = anyio.current_time() + self._sweep_interval_s()
 
     async def sweep(self) -> None:
-        """Claim from every daemon that has rows and is dead."""
+        """Claim the requests of every dead daemon with journal rows."""
         after = ''
         while True:
             rows = await self._table.scan(JOURNAL_PREFIX, after=after, limit=1)
             if isinstance(rows, Unavailable) or not rows:
                 return
-            holder = _holder_of(rows[0].key)
+            holder = _parse_holder(rows[0].key)
             if self._membership.is_gone(holder) or self._is_own(holder):
                 await self._claim(holder)
-            # The next key behind every row of this daemon.
+            # Continue after the last possible key of this daemon.
             after = daemon_prefix(holder) + '\U0010ffff'
 
     async def _claim_gone(self) -> None:
         gone = set(self._membership.recently_gone())
-        self._settled &= gone
-        for daemon in sorted(gone - self._settled):
+        self._claimed &= gone
+        for daemon in sorted(gone - self._claimed):
             if await self._claim(daemon):
-                self._settled.add(daemon)
+                self._claimed.add(daemon)
 
     async def _claim(self, dead: DaemonId) -> bool:
         requests = await self._journal.claim(dead)
@@ -91,19 +95,22 @@
             log.info('claim_unavailable', dead=dead, reason=requests.reason)
             return False
         for request in requests:
-            await self._go_on(request)
+            await self._resume_request(request)
         return True
 
     def _is_own(self, holder: DaemonId) -> bool:
-        # Rows of an earlier process of the same name are claimed too.
+        # An earlier incarnation of this daemon may have left rows too.
         return holder == self._membership.daemon
 
-    def _sweep_s(self) -> float:
+    def _sweep_interval_s(self) -> float:
         data_centres = len(self._membership.data_centres())
-        interval_s = max(SWEEP_LEAST_S, SWEEP_PER_DATA_CENTRE_S * data_centres)
+        interval_s = max(
+            MIN_SWEEP_INTERVAL_S,
+            SWEEP_INTERVAL_PER_DATA_CENTRE_S * data_centres,
+        )
         return interval_s * self._rng.uniform(0.7, 1.3)
 
 
-def _holder_of(key: str) -> DaemonId:
+def _parse_holder(key: str) -> DaemonId:
     parts = key.removeprefix(JOURNAL_PREFIX).rsplit('/', 2)
     return DaemonId(parts[0])
--- a/packages/mimosamux-daemon/mimosamux_daemon/control/orders.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/control/orders.py
@@ -14,7 +14,7 @@
 import anyio.abc
 
 from mimosamux_daemon.control.backoff import Backoff
-from mimosamux_daemon.control.drains import Drains
+from mimosamux_daemon.control.drains import EndpointDrainer
 from mimosamux_daemon.control.leases import Lease
 from mimosamux_daemon.control.order_rows import (
     OrderChange,
@@ -86,7 +86,7 @@
 
     cloud: Cloud
     engines: Engines
-    drains: Drains
+    drains: EndpointDrainer
     weights: WeightQueue
     backoff: Backoff
     configuration: Callable[[], Configuration]
--- a/packages/mimosamux-daemon/mimosamux_daemon/control/ownership.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/control/ownership.py
@@ -1,8 +1,9 @@
-"""Which daemon watches which endpoint, and what it tells its peers.
+"""Watches the endpoints that this daemon owns and gossips their state.
 
-Each endpoint is watched by one daemon of its data centre, so an engine
-keeps one stream of reports open however many daemons there are. The
-others learn of it from digests, one a second from each peer.
+Each endpoint is normally watched by one daemon of its data centre, so that
+an engine keeps one report stream open, however many daemons there are. The
+other daemons receive its state in digests, which each daemon sends to every
+peer once per `DIGEST_INTERVAL_S`.
 """
 
 import random
@@ -22,7 +23,7 @@
     DigestWriter,
     apply_digest,
 )
-from mimosamux_daemon.control.spread import spread_endpoints
+from mimosamux_daemon.control.endpoint_assignment import assign_endpoints
 from mimosamux_daemon.domain.engine import (
     ConnectFailed,
     EngineReport,
@@ -43,25 +44,27 @@
 
 log = get_log('ownership')
 
-FIRST_PAUSE_S = 0.5
-LAST_PAUSE_S = 15.0
-SILENCE_S = 10.0
-"""A stream of reports that is silent for so long is opened again."""
+MIN_RECONNECT_S = 0.5
+"""Mean delay before a reconnect after a stream that had reports."""
+MAX_RECONNECT_S = 15.0
+"""Maximum mean delay; each stream without reports doubles it."""
+REPORT_TIMEOUT_S = 10.0
+"""A report stream without a report for this long is reopened."""
 
 
 class Members(Protocol):
-    """The daemons of a data centre, as membership knows them."""
+    """The part of the membership that ownership depends on."""
 
     @property
     def changed(self) -> anyio.Event:
-        """Event that is set, and replaced, when members change."""
+        """Event that is set and replaced when the members change."""
 
     def members(self, data_centre: DataCentreName) -> tuple[DaemonId, ...]:
-        """Return the daemons that are up there, this one included."""
+        """Return the ready daemons of a data centre, sorted."""
 
 
 class Ownership:
-    """Watches this daemon's endpoints and exchanges digests."""
+    """Watches this daemon's endpoints and exchanges digests with peers."""
 
     def __init__(
         self,
@@ -77,11 +80,11 @@
         metrics: Metrics | None = None,
         shares: FairShares | None = None,
     ) -> None:
-        """Take the parts; `group` names data centres that share digests.
+        """Set up the watches and register the digest handlers.
 
-        The group is this daemon's data centre unless given. A small
-        system takes all of them, so that each daemon knows the load of
-        every endpoint.
+        `group` returns the data centres whose daemons exchange digests; by
+        default that is only this daemon's own. A small system groups all
+        data centres, so that each daemon knows the load of every endpoint.
         """
         self._daemon = daemon
         self._data_centre = data_centre
@@ -94,16 +97,16 @@
         self._scope_by_id: dict[EndpointId, anyio.CancelScope] = {}
         self._writer = DigestWriter(fleet=fleet)
         self._sequence_by_peer: dict[DaemonId, int] = {}
-        self._full_for: set[DaemonId] = set()
+        self._full_digest_requests: set[DaemonId] = set()
         self._known_peers: frozenset[DaemonId] = frozenset()
         self._metrics = metrics
         self._shares = shares
-        peers.handle(FleetDigest, self._take_digest)
-        peers.handle(FullDigestWanted, self._take_wish)
+        peers.handle(FleetDigest, self._handle_digest)
+        peers.handle(FullDigestWanted, self._handle_full_request)
 
     @property
     def owned(self) -> tuple[EndpointId, ...]:
-        """Endpoints that this daemon watches now."""
+        """Endpoints that this daemon watches."""
         return tuple(self._scope_by_id)
 
     def peers(self) -> tuple[DaemonId, ...]:
@@ -117,16 +120,16 @@
         return tuple(daemons)
 
     async def run(self) -> None:
-        """Watch and exchange digests until cancelled."""
+        """Watch endpoints and exchange digests until cancelled."""
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._send_digests)
             while True:
                 fleet, members = self._fleet.changed, self._members.changed
-                self._spread(tasks)
+                self._update_watches(tasks)
                 await _wait_for_any(fleet, members)
 
-    def _spread(self, tasks: anyio.abc.TaskGroup) -> None:
-        """Start and end watches so that they match the ownership."""
+    def _update_watches(self, tasks: anyio.abc.TaskGroup) -> None:
+        """Start and cancel watches to match the current assignment."""
         owned = self._find_owned()
         for id_ in set(self._scope_by_id) - set(owned):
             self._scope_by_id.pop(id_).cancel()
@@ -138,10 +141,10 @@
             tasks.start_soon(self._watch, owned[id_], scope)
 
     def _find_owned(self) -> dict[EndpointId, Endpoint]:
-        """Return this daemon's endpoints in all data centres it serves.
+        """Return the endpoints assigned to this daemon, by id.
 
-        The endpoints of a data centre without daemons are spread over
-        the whole group.
+        The endpoints of a data centre without ready daemons are assigned
+        to the daemons of the whole group.
         """
         owned = {}
         for data_centre in self._group():
@@ -155,7 +158,7 @@
             if data_centre == self._data_centre:
                 daemons.add(self._daemon)
             daemons = daemons or {*self.peers(), self._daemon}
-            owners = spread_endpoints(endpoints, daemons)
+            owners = assign_endpoints(endpoints, daemons)
             owned.update(
                 {
                     id_: endpoints[id_]
@@ -169,22 +172,23 @@
         self, endpoint: Endpoint, scope: anyio.CancelScope
     ) -> None:
         with scope:
-            pause_s = FIRST_PAUSE_S
+            delay_s = MIN_RECONNECT_S
             has_reported = False
             while True:
                 reports = await self._read_reports(endpoint, has_reported)
                 has_reported = has_reported or reports > 0
-                pause_s = FIRST_PAUSE_S if reports else pause_s * 2
-                pause_s = min(pause_s, LAST_PAUSE_S)
-                await anyio.sleep(pause_s * self._rng.uniform(0.5, 1.5))
+                delay_s = MIN_RECONNECT_S if reports else delay_s * 2
+                delay_s = min(delay_s, MAX_RECONNECT_S)
+                await anyio.sleep(delay_s * self._rng.uniform(0.5, 1.5))
 
     async def _read_reports(
         self, endpoint: Endpoint, has_reported: bool
     ) -> int:
-        """Return how many reports came before the stream ended.
+        """Receive reports until the stream ends; return their number.
 
-        A connect that fails counts against the endpoint only if it has
-        reported before: an engine without reports may serve all the same.
+        A failed connect counts against the endpoint only if it has sent
+        reports before: an engine that offers no report stream may serve
+        requests nevertheless.
         """
         reports = 0
         async with self._engines.watch(endpoint) as stream:
@@ -194,12 +198,12 @@
                 return 0
             self._fleet.note_connect(endpoint.id, failed=False)
             while (report := await _receive(stream)) is not None:
-                self._take_report(report)
+                self._apply_report(report)
                 reports += 1
         log.info('reports_ended', endpoint=endpoint.id, reports=reports)
         return reports
 
-    def _take_report(self, report: EngineReport) -> None:
+    def _apply_report(self, report: EngineReport) -> None:
         if isinstance(report, LoadReport):
             self._fleet.take_report(report)
         else:
@@ -214,30 +218,33 @@
 
     async def _send_digest(self) -> None:
         peers = self.peers()
-        self._full_for |= set(peers) - self._known_peers
+        self._full_digest_requests |= set(peers) - self._known_peers
         self._known_peers = frozenset(peers)
         accounts = write_accounts(self._shares) if self._shares else []
-        news = self._writer.write(peers=len(peers), accounts=accounts)
+        delta = self._writer.write(peers=len(peers), accounts=accounts)
         full: FleetDigest | None = None
-        # Wishes that come while this digest is sent are for the next one.
-        wishes, self._full_for = self._full_for, set()
-        if wishes & self._known_peers:
-            full = self._writer.write_full(self.owned, news)
+        # Full digests requested while this one is sent go out in the next.
+        full_requests, self._full_digest_requests = (
+            self._full_digest_requests,
+            set(),
+        )
+        if full_requests & self._known_peers:
+            full = self._writer.write_full(self.owned, delta)
         async with anyio.create_task_group() as tasks:
             for peer in peers:
-                message = full if full and peer in wishes else news
+                message = full if full and peer in full_requests else delta
                 tasks.start_soon(self._notify, peer, message)
 
     async def _notify(self, peer: DaemonId, message: Message) -> None:
-        """Send within the interval: a stuck link must not hold up others.
+        """Send a message to a peer, giving up after half the interval.
 
-        A peer that stands still would otherwise stop the digests to all,
-        and every daemon would choose by old reports.
+        Without the time-out, one stalled peer would stop the digests to
+        all peers, and every daemon would route by stale reports.
         """
         with anyio.move_on_after(DIGEST_INTERVAL_S / 2):
             await self._peers.notify(peer, message)
 
-    async def _take_digest(
+    async def _handle_digest(
         self, sender: DaemonId, digest: FleetDigest
     ) -> Message | None:
         apply_digest(self._fleet, digest)
@@ -253,15 +260,15 @@
             await self._notify(sender, FullDigestWanted())
         return None
 
-    async def _take_wish(
-        self, sender: DaemonId, wish: FullDigestWanted
+    async def _handle_full_request(
+        self, sender: DaemonId, request: FullDigestWanted
     ) -> Message | None:
-        self._full_for.add(sender)
+        self._full_digest_requests.add(sender)
         return None
 
 
 async def _receive(stream: ReportStream) -> EngineReport | None:
-    with anyio.move_on_after(SILENCE_S):
+    with anyio.move_on_after(REPORT_TIMEOUT_S):
         return await stream.receive()
     return None
 
--- a/packages/mimosamux-daemon/mimosamux_daemon/planning_parts.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/planning_parts.py
@@ -11,7 +11,7 @@
 )
 from mimosamux_daemon.control.ceilings import Ceilings
 from mimosamux_daemon.control.demand import DemandMeter
-from mimosamux_daemon.control.drains import FleetDrains
+from mimosamux_daemon.control.drains import FleetDrainer
 from mimosamux_daemon.control.planner import Planner
 from mimosamux_daemon.control.planning_exchange import PlanningNews
 from mimosamux_daemon.control_parts import ControlParts, guard_table
@@ -85,7 +85,7 @@
             peers=control.peers,
         ),
         news=news,
-        drains=FleetDrains(
+        drains=FleetDrainer(
             fleet=serving.fleet, announce=serving.keeper.announce_leaving
         ),
         configuration=lambda: control.in_force.current,
--- a/packages/mimosamux-daemon/mimosamux_daemon/serving_parts.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/serving_parts.py
@@ -6,7 +6,7 @@
 import anyio
 import anyio.abc
 
-from mimosamux_daemon.control.endpoints import EndpointKeeper
+from mimosamux_daemon.control.endpoints import EndpointPoller
 from mimosamux_daemon.control.handover_targets import MembershipTargets
 from mimosamux_daemon.control.journal_claims import JournalClaims
 from mimosamux_daemon.control.one_way_delays import OneWayDelays
@@ -59,7 +59,7 @@
     claims: JournalClaims
     handover: Handover
     targets: MembershipTargets
-    keeper: EndpointKeeper
+    keeper: EndpointPoller
     ownership: Ownership
 
     def start(self, tasks: anyio.abc.TaskGroup) -> None:
@@ -148,7 +148,7 @@
             journal=journal,
             table=journal_table,
             membership=membership,
-            go_on=_go_on_with(models, control),
+            resume_request=_go_on_with(models, control),
         ),
         handover=Handover(
             serving=models,
@@ -158,7 +158,7 @@
             journal=journal,
         ),
         targets=targets,
-        keeper=EndpointKeeper(
+        keeper=EndpointPoller(
             cloud=platform.cloud,
             fleet=fleet,
             prices=prices,
--- a/tests/test_endpoints.py
+++ b/tests/test_endpoints.py
@@ -3,7 +3,7 @@
 import unittest
 
 import anyio
-from mimosamux_daemon.control.endpoints import EndpointKeeper, PollPolicy
+from mimosamux_daemon.control.endpoints import EndpointPoller, PollPolicy
 from mimosamux_daemon.domain.names import (
     DaemonId,
     DataCentreName,
@@ -37,7 +37,7 @@
 
 
 def make_keeper(cloud, fleet, **fields):
-    return EndpointKeeper(
+    return EndpointPoller(
         cloud=cloud, fleet=fleet, prices=PriceBook(), **fields
     )
 
@@ -231,7 +231,7 @@
     def count_polls(self, *, is_poller, vms=0, seconds=60.0):
         async def check():
             cloud = FakeCloud(*(make_vm(f'v{n}') for n in range(vms)))
-            keeper = EndpointKeeper(
+            keeper = EndpointPoller(
                 cloud=cloud,
                 fleet=Fleet(),
                 prices=PriceBook(),
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -7,13 +7,13 @@
 import anyio
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from mimosamux_daemon.control.cache_news import (
-    find_mask,
+from mimosamux_daemon.control.cache_changes import (
+    find_sampling_mask,
     pack_keys,
     unpack_keys,
 )
+from mimosamux_daemon.control.endpoint_assignment import assign_endpoints
 from mimosamux_daemon.control.ownership import Ownership
-from mimosamux_daemon.control.spread import spread_endpoints
 from mimosamux_daemon.domain.engine import CacheEvent
 from mimosamux_daemon.domain.names import (
     AccountId,
@@ -72,7 +72,7 @@
 
     def owner(self, endpoint):
         ids = self.fleets['d0'].by_id
-        return spread_endpoints(ids, DAEMONS)[EndpointId(endpoint)][0]
+        return assign_endpoints(ids, DAEMONS)[EndpointId(endpoint)][0]
 
     def others(self, endpoint):
         return [name for name in DAEMONS if name != self.owner(endpoint)]
@@ -85,10 +85,10 @@
     def test_endpoints_are_spread_evenly_and_move_only_if_they_must(self):
         daemons = [DaemonId(f'd{number}') for number in range(11)]
         ids = [EndpointId(f'e{number}') for number in range(375)]
-        before = spread_endpoints(ids, daemons)
+        before = assign_endpoints(ids, daemons)
         counts = Counter(owner for (owner,) in before.values())
         self.assertEqual(set(counts.values()), {34, 35})
-        after = spread_endpoints(ids, daemons[1:])
+        after = assign_endpoints(ids, daemons[1:])
         moved = [
             id_
             for id_ in ids
@@ -99,7 +99,7 @@
     def test_every_daemon_watches_one_where_endpoints_are_few(self):
         daemons = [DaemonId(f'd{number}') for number in range(9)]
         ids = [EndpointId(f'e{number}') for number in range(6)]
-        owners = spread_endpoints(ids, daemons)
+        owners = assign_endpoints(ids, daemons)
         watchers = [name for names in owners.values() for name in names]
         self.assertEqual(set(watchers), set(daemons))
         for names in owners.values():
@@ -272,5 +272,5 @@
     @given(st.lists(st.integers(0, 2**40 - 1), unique=True, max_size=200))
     def test_keys_come_back_from_their_bytes(self, keys):
         self.assertEqual(unpack_keys(pack_keys(keys)), keys)
-        mask = find_mask(keys, 20)
+        mask = find_sampling_mask(keys, 20)
         self.assertLessEqual(len([k for k in keys if not k & mask]), 20)
