--- a/packages/mimosamux-daemon/mimosamux_daemon/control/build_planner.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/control/build_planner.py
@@ -1,4 +1,4 @@
-"""Puts the parts of a planner together."""
+"""Assembles a planner from its ports, policies and callbacks."""
 
 import random
 from collections.abc import Callable, Iterable, Mapping
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class PlannerPorts:
-    """Everything outside the daemon that a planner uses."""
+    """Ports of a planner to systems outside the daemon."""
 
     table: Table
     cloud: Cloud
@@ -39,22 +39,22 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class PlannerSite:
-    """Who the planner is and which daemons there are."""
+    """Identity of a planner, and the daemons that it communicates with."""
 
     daemon: DaemonId
     data_centre: DataCentreName
     incarnation: int
     own_daemons: Callable[[], Iterable[DaemonId]] = tuple
-    """Daemons of the data centre."""
+    """Return the daemons of the same data centre."""
     other_daemons: Callable[
         [], Mapping[DataCentreName, tuple[DaemonId, ...]]
     ] = dict
-    """Daemons of the others, by data centre."""
+    """Return the daemons of each other data centre."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class PlannerPolicies:
-    """Constants of every part."""
+    """Policies of the lease, the orders and the planner."""
 
     lease: LeasePolicy = field(default_factory=LeasePolicy)
     orders: OrderPolicy = field(default_factory=OrderPolicy)
@@ -74,7 +74,7 @@
     on_ready: Callable[[VMOrder], None] = lambda _: None,
     policies: PlannerPolicies | None = None,
 ) -> Planner:
-    """Return a planner; its `run` waits for the lease and then plans."""
+    """Build a planner; its `run` acquires the lease and then plans."""
     policies = policies or PlannerPolicies()
 
     def all_check_fencing() -> bool:
--- a/packages/mimosamux-daemon/mimosamux_daemon/control/ceilings.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/control/ceilings.py
@@ -1,4 +1,4 @@
-"""Classes that are refused because serving them costs too much."""
+"""Refusal of work classes whose cost exceeds their cost ceiling."""
 
 import random
 from collections.abc import Iterable
@@ -8,7 +8,7 @@
 
 
 class Ceilings:
-    """Which classes the plan in force refuses, in full or in part."""
+    """Cost ceilings in force, which refuse classes in full or in part."""
 
     def __init__(self, *, randomness: random.Random) -> None:
         self._randomness = randomness
@@ -16,20 +16,21 @@
 
     @property
     def shortfalls(self) -> tuple[CeilingShortfall, ...]:
-        """Return the classes that are short of money, for operators."""
+        """Return the classes above their cost ceiling, for operators."""
         return tuple(self._shortfalls_by_class.values())
 
     def take(self, shortfalls: Iterable[CeilingShortfall]) -> None:
-        """Put what a plan says in force."""
+        """Put the shortfalls of a new plan in force."""
         self._shortfalls_by_class = {
             shortfall.work_class: shortfall for shortfall in shortfalls
         }
 
     def over_ceiling(self) -> frozenset[ClassName]:
-        """Return the classes to refuse for one request that is offered.
+        """Sample the classes to refuse, for one offered request.
 
-        Each call draws anew, so that a class whose ceiling pays for part
-        of its requests gets that part served.
+        Each class is included with probability 1 minus its admitted share,
+        so that the share of its requests that the ceiling pays for is
+        served.
         """
         return frozenset(
             name
--- a/packages/mimosamux-daemon/mimosamux_daemon/control/feasibility.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/control/feasibility.py
@@ -1,4 +1,4 @@
-"""Refuses targets that nothing there is could ever meet."""
+"""Rejects configured targets that no known VM or engine can meet."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -12,10 +12,10 @@
 
 @dataclass(kw_only=True, slots=True)
 class TargetCheck:
-    """Compares targets with the prices and engines that are known.
+    """Checks targets against the known prices and engine speeds.
 
-    What is not known yet refuses nothing: a daemon that has just started
-    must not turn a good configuration away.
+    Unknown prices and speeds reject nothing, because a daemon that has
+    just started must not reject a valid configuration.
     """
 
     prices: PriceBook
@@ -25,8 +25,8 @@
     def __call__(self, configuration: Configuration) -> Invalid | None:
         """Return the first new target that cannot be met, if any.
 
-        A class that stays as it is passes: prices that have risen since
-        must not keep operators from changing anything else.
+        Unchanged classes pass, because prices that have risen since must
+        not keep operators from changing anything else.
         """
         known = self.in_force().classes
         for name, work_class in configuration.classes.items():
--- a/packages/mimosamux-daemon/mimosamux_daemon/control/order_rows.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/control/order_rows.py
@@ -1,8 +1,8 @@
-"""Rows that say which VMs were ordered, and how far each has come.
+"""Table rows that hold the state of every VM order of a data centre.
 
-A row is written before the order that it tells of. Whoever takes the
-lease over knows from the rows what may have been ordered, and from the
-platform's list what came of it.
+A row is written before the call to the cloud that it describes. The next
+lease holder learns from the rows which calls may have been made, and from
+the cloud's list of VMs which of them took effect.
 """
 
 from collections.abc import Callable, Sequence
@@ -32,15 +32,15 @@
 
 ORDER_PREFIX = 'vm-order/'
 CALL_TIMEOUT_S = 5.0
-ROWS_AT_ONCE = 100
-"""Rows of one transaction; the table is shared by everybody."""
+MAX_ROWS_PER_COMMIT = 100
+"""Maximum rows of one transaction, as all daemons share the table."""
 
 
 class OrderState(StrEnum):
-    """How far an ordered VM has come."""
+    """Life cycle of an ordered VM."""
 
     INTENDED = 'intended'
-    """The cloud may have been asked to start it."""
+    """The start call may have been sent; its outcome is unknown."""
     STARTED = 'started'
     LOADING = 'loading'
     READY = 'ready'
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class VMOrder:
-    """One VM, from the intention to start it until it is gone."""
+    """Order for one VM, from the intention to start it until it is gone."""
 
     id: str
     data_centre: DataCentreName
@@ -57,45 +57,48 @@
     market: Market
     model: ModelName
     version: str
-    """Version of the model that it loads; '' if not known."""
+    """Version of the model that the VM loads; '' if unknown."""
     state: OrderState
     fencing: int
+    """Fencing token of the lease under which the order was made."""
     vm: VMId = VMId('')
+    """Id that the cloud gave the VM; '' before it is known."""
 
     @property
     def key(self) -> str:
-        """Key of the row."""
+        """Return the key of the row."""
         return f'{ORDER_PREFIX}{self.data_centre}/{self.id}'
 
     @property
     def offer(self) -> Offer:
-        """Offer that was ordered."""
+        """Return the ordered offer."""
         return Offer(
             data_centre=self.data_centre,
             machine_class=self.machine_class,
             market=self.market,
         )
 
-    def moved_to(
+    def with_state(
         self, state: OrderState, *, vm: VMId | None = None
     ) -> 'VMOrder':
-        """Return the order in a new state."""
+        """Return a copy in a new state, with the VM's id if given."""
         return replace(self, state=state, vm=self.vm if vm is None else vm)
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class OrderChange:
-    """A row as it becomes, from which state, and why."""
+    """New content of an order's row, with the details for the audit."""
 
     order: VMOrder
     before: str = ''
+    """State before the change; '' for a new row."""
     why: str = ''
-    deletes: bool = False
-    """The VM is gone, or was never started: the row goes."""
+    is_deletion: bool = False
+    """Whether the row is deleted: the VM is gone or was never started."""
 
 
 def parse_order(row: Row) -> VMOrder:
-    """Return the order that a row tells of."""
+    """Parse the order in a row."""
     fields = orjson.loads(row.value)
     fields['market'] = Market(fields['market'])
     fields['state'] = OrderState(fields['state'])
@@ -137,10 +140,14 @@
             after = rows[-1].key
 
     async def write(self, changes: Sequence[OrderChange]) -> bool:
-        """Write changes with their audit entries; True if they stand."""
-        for start in range(0, len(changes), ROWS_AT_ONCE // 2):
-            part = changes[start : start + ROWS_AT_ONCE // 2]
-            if not await self._write_part(part):
+        """Write changes with their audit entries; return whether stored.
+
+        The changes are split into batches, each one transaction. False may
+        mean that some batches are stored, or that the outcome is unknown.
+        """
+        for start in range(0, len(changes), MAX_ROWS_PER_COMMIT // 2):
+            batch = changes[start : start + MAX_ROWS_PER_COMMIT // 2]
+            if not await self._write_batch(batch):
                 return False
         return True
 
@@ -149,7 +156,7 @@
             return await self._table.scan(self._prefix, after=after)
         return Unavailable(reason='timeout', may_have_landed=False)
 
-    async def _write_part(self, changes: Sequence[OrderChange]) -> bool:
+    async def _write_batch(self, changes: Sequence[OrderChange]) -> bool:
         writes = [_as_write(change) for change in changes]
         checks = [
             Check(
@@ -158,22 +165,23 @@
             for write in writes
         ]
         audits = [
-            self._describe(change).as_write()
+            self._audit_entry(change).as_write()
             for change in changes
-            if _is_audited(change)
+            if _needs_audit(change)
         ]
         with anyio.move_on_after(CALL_TIMEOUT_S):
             outcome = await self._table.commit(checks, [*writes, *audits])
             if isinstance(outcome, Committed):
                 for write in writes:
-                    self._note_version(write, outcome.versions[write.key])
+                    self._record_version(write, outcome.versions[write.key])
                 return True
-        return await self._read_back(writes)
+        return await self._confirm_stored(writes)
 
-    async def _read_back(self, writes: list[Write]) -> bool:
-        """Settle a write without an answer by reading its first row.
+    async def _confirm_stored(self, writes: list[Write]) -> bool:
+        """Return whether a transaction with a lost answer is stored.
 
-        The rows of a transaction land together, so one tells of all.
+        A transaction is atomic, so the first row shows whether all of its
+        rows are stored; the others are read only for their versions.
         """
         with anyio.move_on_after(CALL_TIMEOUT_S):
             found = await self._table.read(writes[0].key)
@@ -185,19 +193,19 @@
                 row = await self._table.read(write.key)
                 if isinstance(row, Unavailable):
                     return False
-                self._note_version(write, row.version if row else 0)
+                self._record_version(write, row.version if row else 0)
             return True
         return False
 
-    def _note_version(self, write: Write, version: int) -> None:
+    def _record_version(self, write: Write, version: int) -> None:
         if write.value is None:
             self._versions_by_key.pop(write.key, None)
         else:
             self._versions_by_key[write.key] = version
 
-    def _describe(self, change: OrderChange) -> AuditEntry:
+    def _audit_entry(self, change: OrderChange) -> AuditEntry:
         order = change.order
-        after = 'gone' if change.deletes else str(order.state)
+        after = 'gone' if change.is_deletion else str(order.state)
         is_load = after == OrderState.LOADING
         return AuditEntry(
             id=f'{order.id}-{after}-{self._fencing}',
@@ -214,11 +222,11 @@
 
 def _as_write(change: OrderChange) -> Write:
     order = change.order
-    value = None if change.deletes else orjson.dumps(asdict(order))
+    value = None if change.is_deletion else orjson.dumps(asdict(order))
     return Write(key=order.key, value=value)
 
 
-def _is_audited(change: OrderChange) -> bool:
-    """Return whether a change is one of its own, not only progress."""
-    progress = (OrderState.STARTED, OrderState.READY)
-    return change.deletes or change.order.state not in progress
+def _needs_audit(change: OrderChange) -> bool:
+    """Return whether a change is a decision, not only progress."""
+    progress_states = (OrderState.STARTED, OrderState.READY)
+    return change.is_deletion or change.order.state not in progress_states
--- a/packages/mimosamux-daemon/mimosamux_daemon/control/orders.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/control/orders.py
@@ -1,9 +1,11 @@
 """Orders to the cloud and the engines of one data centre, under a lease.
 
-Every order is written down before it is given, and the lease is looked at
-right before. After a lost answer the list of VMs tells what happened; it
-lags, so an order counts as without effect only once the list is newer
-than the order by the longest lag.
+An order starts, loads or stops one VM. Its row is written to the table
+before the call that carries it out (a write-ahead intention), and the
+lease is checked directly before the call. If the answer to a call is lost,
+the cloud's list of VMs shows the outcome. The list lags, so an order
+counts as without effect only when the list was requested more than the
+maximum lag after the order.
 """
 
 import random
@@ -47,32 +49,33 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class OrderPolicy:
-    """Times in seconds."""
+    """Time-outs and limits of orders; times in seconds."""
 
     list_lag_bound_s: float = 30.0
-    """The list of VMs is never older than this."""
+    """Maximum lag of the cloud's list of VMs."""
     call_timeout_s: float = 5.0
     retry_s: float = 2.0
     gone_after_lists: int = 3
-    """A VM is gone once it is missing from so many lists in a row."""
+    """Number of consecutive lists without a VM after which it is gone."""
 
 
 @dataclass(kw_only=True, slots=True)
 class TrackedOrder:
-    """An order, and what has been seen of its VM."""
+    """An order and the observed state of its VM."""
 
     order: VMOrder
-    since: float
-    """Time after which it cannot have been given again."""
+    last_sent_at: float
+    """Latest time at which a start call may have been sent."""
     was_listed: bool = False
-    lists_missing: int = 0
+    missed_lists: int = 0
+    """Consecutive lists without the VM."""
     is_busy: bool = False
-    """A task loads, drains or stops it, or waits for the cloud."""
+    """Whether a task is starting, loading, draining or stopping the VM."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class WantedVM:
-    """A VM to start, and why."""
+    """A VM to start, with the reason for the audit trail."""
 
     offer: Offer
     model: ModelName
@@ -82,7 +85,7 @@
 
 @dataclass(kw_only=True)
 class OrderParts:
-    """What orders are given through."""
+    """Dependencies of `Orders` that outlive a lease."""
 
     cloud: Cloud
     engines: Engines
@@ -94,7 +97,7 @@
     policy: OrderPolicy = field(default_factory=OrderPolicy)
     on_ready: Callable[[VMOrder], None] = lambda _: None
     on_refused: Callable[[], None] = lambda: None
-    """Called when a start was refused, so that another one is planned."""
+    """Called after the cloud refused a start, to plan a replacement."""
 
 
 class Orders:
@@ -116,11 +119,11 @@
         self._tasks = tasks
         self._by_id: dict[str, TrackedOrder] = {}
         self._vms_by_id: dict[VMId, VM] = {}
-        self._is_read = False
-        self._number = 0
+        self._rows_loaded = False
+        self._order_count = 0
 
     def active(self) -> Iterator[VMOrder]:
-        """Return the orders whose VMs are there to stay, or may be."""
+        """Return the orders that are not stopping."""
         return (
             tracked.order
             for tracked in self._by_id.values()
@@ -128,7 +131,7 @@
         )
 
     def stopping(self) -> frozenset[VMId]:
-        """Return the VMs that are drained and stopped."""
+        """Return the VMs that are being drained or stopped."""
         return frozenset(
             tracked.order.vm
             for tracked in self._by_id.values()
@@ -136,7 +139,7 @@
         )
 
     def is_live(self, order: VMOrder) -> bool:
-        """Return whether the VM of an order serves."""
+        """Return whether the VM of an order is live and loaded."""
         vm = self._vms_by_id.get(order.vm)
         return (
             order.state is OrderState.READY
@@ -144,60 +147,65 @@
             and vm.state is VMState.LIVE
         )
 
-    async def settle(self, vms: Sequence[VM], asked_at: float) -> bool:
-        """Bring the orders in line with the list of VMs.
+    async def settle(
+        self, vms: Sequence[VM], list_requested_at: float
+    ) -> bool:
+        """Reconcile the orders with the list of VMs.
 
-        False if the rows cannot be read: nothing may be ordered then, as
-        an order of an earlier holder could be under way unseen.
+        Return False if the rows cannot be read. The caller must not start
+        or stop VMs then: an order of an earlier lease holder could be in
+        flight.
         """
-        if not self._is_read and not await self._read_rows():
+        if not self._rows_loaded and not await self._load_rows():
             return False
-        self._vms_by_id = {vm.id: vm for vm in vms if self._is_own(vm)}
+        self._vms_by_id = {vm.id: vm for vm in vms if self._is_managed(vm)}
         changes: list[OrderChange] = []
-        self._match_listed()
-        self._adopt_unknown()
+        self._match_listed_vms()
+        self._adopt_orphans()
         for tracked in list(self._by_id.values()):
-            change = self._find_gone(tracked, asked_at)
+            change = self._detect_gone(tracked, list_requested_at)
             if change is not None:
                 changes.append(change)
-        if changes and await self._write(changes):
+        if changes and await self._write_changes(changes):
             for change in changes:
                 self._by_id.pop(change.order.id, None)
-        self._continue_work()
-        return self._is_read
+        self._start_tasks()
+        return self._rows_loaded
 
     async def start(self, wanted: Sequence[WantedVM]) -> None:
-        """Write the intentions down, then order the VMs."""
+        """Write the order rows, then start the VMs in the background."""
         orders = [self._new_order(item) for item in wanted]
         changes = [
             OrderChange(order=order, why=item.why)
             for order, item in zip(orders, wanted, strict=True)
         ]
-        if not changes or not await self._write(changes):
+        if not changes or not await self._write_changes(changes):
             return
         for order in orders:
-            tracked = TrackedOrder(order=order, since=anyio.current_time())
+            tracked = TrackedOrder(
+                order=order, last_sent_at=anyio.current_time()
+            )
             tracked.is_busy = True
             self._by_id[order.id] = tracked
-            self._tasks.start_soon(self._start_one, tracked)
+            self._tasks.start_soon(self._start_vm, tracked)
 
     async def stop(self, orders: Sequence[VMOrder], why: str) -> None:
-        """Write the intentions down, then drain and stop the VMs."""
+        """Write the order rows, then drain and stop in the background."""
         changes = [
             OrderChange(
-                order=order.moved_to(OrderState.STOPPING),
+                order=order.with_state(OrderState.STOPPING),
                 before=str(order.state),
                 why=why,
             )
             for order in orders
         ]
-        if not changes or not await self._write(changes):
+        if not changes or not await self._write_changes(changes):
             return
         for change in changes:
             self._by_id[change.order.id].order = change.order
-        self._continue_work()
+        self._start_tasks()
 
-    async def _read_rows(self) -> bool:
+    async def _load_rows(self) -> bool:
         orders = await self._rows.read_all()
         if isinstance(orders, Unavailable):
             return False
@@ -206,32 +214,34 @@
         for id_, order in found.items():
             tracked = self._by_id.get(id_)
             if tracked is None:
-                # Its order may be under way from an earlier holder, so it
-                # counts as given just now.
-                self._by_id[id_] = TrackedOrder(order=order, since=now)
+                # A call of an earlier lease holder may still be in flight,
+                # so the order counts as sent at this moment.
+                self._by_id[id_] = TrackedOrder(order=order, last_sent_at=now)
             elif not tracked.is_busy:
                 tracked.order = order
         for id_ in [id_ for id_ in self._by_id if id_ not in found]:
             if not self._by_id[id_].is_busy:
                 del self._by_id[id_]
-        self._is_read = True
+        self._rows_loaded = True
         return True
 
-    async def _write(self, changes: Sequence[OrderChange]) -> bool:
+    async def _write_changes(self, changes: Sequence[OrderChange]) -> bool:
         if not self._lease.is_valid():
             return False
         if await self._rows.write(changes):
             return True
-        # Some of it may stand all the same, or land late. Acting on what
-        # is in memory could then start a VM a second time.
-        self._is_read = False
+        # Part of the changes may be stored all the same, or be stored
+        # late. Acting on the orders in memory could then start a VM twice,
+        # so the rows are read again.
+        self._rows_loaded = False
         return False
 
-    def _is_own(self, vm: VM) -> bool:
-        """Whether the planner of this data centre decides on a VM.
+    def _is_managed(self, vm: VM) -> bool:
+        """Return whether this planner manages a VM.
 
-        The VMs of plain services are not its business: counting them as
-        adopted but unneeded, it would drain and stop every service.
+        VMs of services without a model are excluded. The planner would
+        otherwise adopt them, find them surplus to the plan, and drain and
+        stop every service.
         """
         return (
             vm.data_centre == self._data_centre
@@ -239,7 +249,7 @@
             and vm.model is not None
         )
 
-    def _match_listed(self) -> None:
+    def _match_listed_vms(self) -> None:
         by_order_id = {vm.order_id: vm for vm in self._vms_by_id.values()}
         for tracked in self._by_id.values():
             order = tracked.order
@@ -248,11 +258,11 @@
                 tracked.order = _with_vm(order, vm)
             tracked.was_listed |= tracked.order.vm in self._vms_by_id
 
-    def _adopt_unknown(self) -> None:
-        """Take over VMs that no order tells of.
+    def _adopt_orphans(self) -> None:
+        """Create orders for VMs that have none.
 
-        An order that took effect after it was given up on leaves a VM
-        that is paid for and not used by anybody.
+        A start that takes effect after its order was deleted leaves a VM
+        that costs money and serves nothing.
         """
         known = {tracked.order.vm for tracked in self._by_id.values()}
         for vm in self._vms_by_id.values():
@@ -270,35 +280,36 @@
                 vm=vm.id,
             )
             self._by_id[order.id] = TrackedOrder(
-                order=order, since=anyio.current_time(), was_listed=True
+                order=order, last_sent_at=anyio.current_time(), was_listed=True
             )
             log.info('vm_adopted', vm=vm.id, order=vm.order_id)
 
-    def _find_gone(
-        self, tracked: TrackedOrder, asked_at: float
+    def _detect_gone(
+        self, tracked: TrackedOrder, list_requested_at: float
     ) -> OrderChange | None:
         order = tracked.order
         if order.vm in self._vms_by_id:
-            tracked.lists_missing = 0
+            tracked.missed_lists = 0
             return None
-        tracked.lists_missing += 1
-        lag_is_over = (
-            asked_at - tracked.since > self._parts.policy.list_lag_bound_s
+        tracked.missed_lists += 1
+        is_past_list_lag = (
+            list_requested_at - tracked.last_sent_at
+            > self._parts.policy.list_lag_bound_s
         )
         is_missing = (
-            tracked.lists_missing >= self._parts.policy.gone_after_lists
+            tracked.missed_lists >= self._parts.policy.gone_after_lists
         )
         if tracked.is_busy and order.state is OrderState.INTENDED:
             return None
-        if not is_missing or not (tracked.was_listed or lag_is_over):
+        if not is_missing or not (tracked.was_listed or is_past_list_lag):
             return None
         why = 'was not started' if not order.vm else 'is gone'
         return OrderChange(
-            order=order, before=str(order.state), why=why, deletes=True
+            order=order, before=str(order.state), why=why, is_deletion=True
         )
 
-    def _continue_work(self) -> None:
-        """Start a task for each VM that has something to be done."""
+    def _start_tasks(self) -> None:
+        """Start a task for each VM that has to be loaded or stopped."""
         for tracked in self._by_id.values():
             if tracked.is_busy:
                 continue
@@ -306,7 +317,7 @@
             vm = self._vms_by_id.get(order.vm)
             if order.state is OrderState.STOPPING and order.vm:
                 tracked.is_busy = True
-                self._tasks.start_soon(self._stop_one, tracked)
+                self._tasks.start_soon(self._stop_vm, tracked)
             elif (
                 order.state in (OrderState.STARTED, OrderState.LOADING)
                 and vm is not None
@@ -314,12 +325,12 @@
                 and order.model in self._parts.configuration().models
             ):
                 tracked.is_busy = True
-                self._tasks.start_soon(self._load_one, tracked, vm)
+                self._tasks.start_soon(self._load_when_free, tracked, vm)
 
     def _new_order(self, wanted: WantedVM) -> VMOrder:
-        self._number += 1
+        self._order_count += 1
         unique = self._parts.randomness.randbytes(4).hex()
-        name = f'{self._data_centre}-{self._lease.fencing}-{self._number}'
+        name = f'{self._data_centre}-{self._lease.fencing}-{self._order_count}'
         return VMOrder(
             id=f'{name}-{unique}',
             data_centre=self._data_centre,
@@ -331,7 +342,7 @@
             fencing=self._lease.fencing,
         )
 
-    async def _start_one(self, tracked: TrackedOrder) -> None:
+    async def _start_vm(self, tracked: TrackedOrder) -> None:
         order = tracked.order
         outcome: VM | StartRefused | Unavailable
         outcome = Unavailable(reason='timeout', may_have_landed=True)
@@ -348,7 +359,7 @@
                     fencing=order.fencing,
                 )
             )
-        tracked.since = anyio.current_time()
+        tracked.last_sent_at = anyio.current_time()
         tracked.is_busy = False
         log.info('vm_ordered', order=order.id, outcome=type(outcome).__name__)
         if isinstance(outcome, VM):
@@ -356,30 +367,30 @@
             tracked.order = _with_vm(order, outcome)
         elif isinstance(outcome, StartRefused):
             self._parts.backoff.note_refused(order.offer)
-            await self._forget(tracked, 'start refused')
+            await self._delete_order(tracked, 'start refused')
             self._parts.on_refused()
         elif not outcome.may_have_landed:
-            await self._forget(tracked, 'cloud did not answer')
+            await self._delete_order(tracked, 'cloud did not answer')
 
-    async def _forget(self, tracked: TrackedOrder, why: str) -> None:
+    async def _delete_order(self, tracked: TrackedOrder, why: str) -> None:
         order = tracked.order
         change = OrderChange(
-            order=order, before=str(order.state), why=why, deletes=True
+            order=order, before=str(order.state), why=why, is_deletion=True
         )
-        if await self._write([change]):
+        if await self._write_changes([change]):
             self._by_id.pop(order.id, None)
 
-    async def _load_one(self, tracked: TrackedOrder, vm: VM) -> None:
+    async def _load_when_free(self, tracked: TrackedOrder, vm: VM) -> None:
         models = self._parts.configuration().models
         try:
             spec = models.get(tracked.order.model)
             if spec is not None:
-                async with self._parts.weights.turn(spec):
-                    await self._load(tracked, vm, spec)
+                async with self._parts.weights.reserve_load(spec):
+                    await self._load_model(tracked, vm, spec)
         finally:
             tracked.is_busy = False
 
-    async def _load(
+    async def _load_model(
         self, tracked: TrackedOrder, vm: VM, spec: ModelSpec
     ) -> None:
         if tracked.order.state not in (OrderState.STARTED, OrderState.LOADING):
@@ -390,7 +401,7 @@
         change = OrderChange(
             order=order, before=str(tracked.order.state), why='VM is live'
         )
-        if not await self._write([change]):
+        if not await self._write_changes([change]):
             return
         tracked.order = order
         engine_order = EngineOrder(
@@ -406,21 +417,22 @@
             _as_endpoint(vm, spec), engine_order
         )
         if isinstance(outcome, OrderRefused):
-            # Another daemon has given it an order with a higher number.
+            # The engine has seen an order with a higher fencing token, so
+            # another daemon holds the lease.
             self._lease.end()
             log.info('order_refused', order=order.id, reason=outcome.reason)
         if isinstance(outcome, OrderDone):
-            await self._note_ready(tracked)
+            await self._record_ready(tracked)
 
-    async def _note_ready(self, tracked: TrackedOrder) -> None:
+    async def _record_ready(self, tracked: TrackedOrder) -> None:
         if tracked.order.state is not OrderState.LOADING:
             return
-        order = tracked.order.moved_to(OrderState.READY)
-        if await self._write([OrderChange(order=order)]):
+        order = tracked.order.with_state(OrderState.READY)
+        if await self._write_changes([OrderChange(order=order)]):
             tracked.order = order
             self._parts.on_ready(order)
 
-    async def _stop_one(self, tracked: TrackedOrder) -> None:
+    async def _stop_vm(self, tracked: TrackedOrder) -> None:
         try:
             await self._parts.drains.drain(EndpointId(tracked.order.vm))
             while self._lease.is_valid():
@@ -431,8 +443,8 @@
                 if outcome is None:
                     break
                 await anyio.sleep(self._parts.policy.retry_s)
-            # The list still shows the VM for a while: stopping it again
-            # at each list would only be noise.
+            # The lagging list still shows the VM; staying busy for the
+            # maximum lag avoids a redundant stop call at each list.
             await anyio.sleep(self._parts.policy.list_lag_bound_s)
         finally:
             tracked.is_busy = False
@@ -442,7 +454,7 @@
     state = order.state
     if state is OrderState.INTENDED:
         state = OrderState.STARTED
-    return order.moved_to(state, vm=vm.id)
+    return order.with_state(state, vm=vm.id)
 
 
 def _as_endpoint(vm: VM, spec: ModelSpec) -> Endpoint:
--- a/packages/mimosamux-daemon/mimosamux_daemon/control/placement.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/control/placement.py
@@ -1,4 +1,9 @@
-"""The cheapest VMs for a number of replicas that survives a loss."""
+"""Selects the cheapest VMs that provide a number of replicas.
+
+The selection also has to provide a number of replicas after the planned
+loss of reclaimable VMs: all of one data centre, or a share of all. VMs of
+different machine classes count as multiples of a reference replica.
+"""
 
 import math
 from collections.abc import Mapping, Sequence
@@ -8,56 +13,61 @@
 from mimosamux_daemon.domain.vms import Market
 
 GRID_POINTS = 16
-SMALL = 1e-9
+EPSILON = 1e-9
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class PlacementPolicy:
     """Constants of the placement."""
 
-    reclaimed_share: float = 0.44
-    """Share of all reclaimable VMs that may go at once."""
+    max_reclaimed_share: float = 0.44
+    """Share of all reclaimable VMs that may be reclaimed at once."""
     stickiness: float = 0.35
-    """Share by which another VM has to be cheaper than a running one
-    before it takes its place."""
+    """Fraction by which a new VM has to be cheaper than a running one to
+    replace it."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class PricedOffer:
-    """An offer as seen for one model."""
+    """An offer with its price and capacity for one model."""
 
     offer: Offer
     per_hour: float
     weight: float
     """Capacity of one VM in reference replicas."""
     running: int
+    """VMs of the model that run on this offer."""
     can_start: bool
+    """Whether the cloud may start more of them."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class _Tier:
-    """VMs of one offer at one price."""
+    """VMs of one offer at one price: the running ones, or new ones.
+
+    The price of running VMs is reduced by the stickiness.
+    """
 
     offer: Offer
-    unit_price: float
+    price_per_replica: float
     weight: float
     limit: float
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class _Purchase:
+class _Selection:
     counts: Mapping[Offer, int]
     cost: float
-    units: float
-    largest_data_centre: float
+    replicas: float
+    max_per_data_centre: float
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Placement:
-    """VMs by offer, and the capacity they make."""
+    """Number of VMs by offer, and their total capacity and cost."""
 
     counts: Mapping[Offer, int]
-    units: float
+    replicas: float
     meets_need: bool
     cost: float
 
@@ -67,8 +77,9 @@
 ) -> Placement:
     """Return the cheapest placement that meets the need.
 
-    Where the cloud has too little to give, the loss that is planned for
-    is made smaller first, and then everything that is there is taken.
+    If the cloud offers too few VMs, the need after a loss is relaxed step
+    by step. As a last resort, the available VMs cover what they can of the
+    normal need.
     """
     reclaimable = _as_tiers(offers, Market.RECLAIMABLE, policy)
     on_demand = _as_tiers(offers, Market.ON_DEMAND, policy)
@@ -78,14 +89,16 @@
         if found is not None:
             return Placement(
                 counts=found.counts,
-                units=found.units,
+                replicas=found.replicas,
                 meets_need=share == 1.0,
                 cost=found.cost,
             )
-    everything = _buy([*reclaimable, *on_demand], math.inf, need.normal)
+    everything = _select_cheapest(
+        [*reclaimable, *on_demand], math.inf, need.normal
+    )
     return Placement(
         counts=everything.counts,
-        units=everything.units,
+        replicas=everything.replicas,
         meets_need=False,
         cost=everything.cost,
     )
@@ -96,20 +109,20 @@
     weights: Mapping[str, float],
     policy: PlacementPolicy,
 ) -> float:
-    """Return the replicas that the worst loss planned for would leave."""
+    """Return the replicas that remain after the worst planned loss."""
     total = 0.0
     reclaimable_by_data_centre: dict[str, float] = {}
     for offer, count in counts.items():
-        units = count * weights.get(offer.machine_class, 1.0)
-        total += units
+        replicas = count * weights.get(offer.machine_class, 1.0)
+        total += replicas
         if offer.market is Market.RECLAIMABLE:
-            name = offer.data_centre
-            reclaimable_by_data_centre[name] = (
-                reclaimable_by_data_centre.get(name, 0.0) + units
+            data_centre = offer.data_centre
+            reclaimable_by_data_centre[data_centre] = (
+                reclaimable_by_data_centre.get(data_centre, 0.0) + replicas
             )
     reclaimable = sum(reclaimable_by_data_centre.values())
     largest = max(reclaimable_by_data_centre.values(), default=0.0)
-    share = math.ceil(policy.reclaimed_share * reclaimable - SMALL)
+    share = math.ceil(policy.max_reclaimed_share * reclaimable - EPSILON)
     return total - max(largest, share)
 
 
@@ -120,12 +133,13 @@
     for item in offers:
         if item.offer.market is not market:
             continue
-        unit_price = item.per_hour / item.weight
+        price_per_replica = item.per_hour / item.weight
         if item.running:
             tiers.append(
                 _Tier(
                     offer=item.offer,
-                    unit_price=unit_price * (1.0 - policy.stickiness),
+                    price_per_replica=price_per_replica
+                    * (1.0 - policy.stickiness),
                     weight=item.weight,
                     limit=item.running,
                 )
@@ -134,7 +148,7 @@
             tiers.append(
                 _Tier(
                     offer=item.offer,
-                    unit_price=unit_price,
+                    price_per_replica=price_per_replica,
                     weight=item.weight,
                     limit=math.inf,
                 )
@@ -144,7 +158,7 @@
 
 def _rank(tier: _Tier) -> tuple[float, str, str]:
     offer = tier.offer
-    return tier.unit_price, offer.data_centre, offer.machine_class
+    return tier.price_per_replica, offer.data_centre, offer.machine_class
 
 
 def _search(
@@ -152,99 +166,120 @@
     reclaimable: list[_Tier],
     on_demand: list[_Tier],
     policy: PlacementPolicy,
-) -> _Purchase | None:
-    """Search the on-demand replicas on finer and finer grids."""
-    low, high = 0, math.ceil(max(need.normal, need.after_loss))
-    best: _Purchase | None = None
+) -> _Selection | None:
+    """Search the best number of on-demand replicas on ever finer grids."""
+    lowest, highest = 0, math.ceil(max(need.normal, need.after_loss))
+    best: _Selection | None = None
     while True:
-        step = max(1, (high - low) // GRID_POINTS)
-        center = low
-        for units in range(low, high + 1, step):
-            found = _complete(need, units, reclaimable, on_demand, policy)
-            if found and (best is None or found.cost < best.cost - SMALL):
-                best, center = found, units
+        step = max(1, (highest - lowest) // GRID_POINTS)
+        center = lowest
+        for replicas in range(lowest, highest + 1, step):
+            found = _add_reclaimable(
+                need, replicas, reclaimable, on_demand, policy
+            )
+            if found and (best is None or found.cost < best.cost - EPSILON):
+                best, center = found, replicas
         if step == 1:
             return best
-        low, high = max(0, center - step), center + step
+        lowest, highest = max(0, center - step), center + step
 
 
-def _complete(
+def _add_reclaimable(
     need: Need,
-    on_demand_units: int,
+    on_demand_replicas: int,
     reclaimable: list[_Tier],
     on_demand: list[_Tier],
     policy: PlacementPolicy,
-) -> _Purchase | None:
-    """Return the cheapest reclaimable VMs beside so many on demand."""
-    fixed = _buy(on_demand, math.inf, on_demand_units)
-    if fixed.units + SMALL < on_demand_units:
+) -> _Selection | None:
+    """Add the cheapest reclaimable VMs to a number on demand.
+
+    Return None if no combination meets the need.
+    """
+    on_demand_selection = _select_cheapest(
+        on_demand, math.inf, on_demand_replicas
+    )
+    if on_demand_selection.replicas + EPSILON < on_demand_replicas:
         return None
-    missing = need.after_loss - fixed.units
-    least = max(
-        0.0, need.normal - fixed.units, missing / (1 - policy.reclaimed_share)
+    required_after_loss = need.after_loss - on_demand_selection.replicas
+    min_replicas = max(
+        0.0,
+        need.normal - on_demand_selection.replicas,
+        required_after_loss / (1 - policy.max_reclaimed_share),
     )
-    step = max(1.0, least // GRID_POINTS)
-    best: _Purchase | None = None
-    worse = 0
+    step = max(1.0, min_replicas // GRID_POINTS)
+    best: _Selection | None = None
+    worse_count = 0
     for number in range(3 * GRID_POINTS):
-        units = math.ceil(least - SMALL) + number * step
-        bought = _buy(reclaimable, max(0.0, units - missing), units)
-        if not _survives(bought, units, missing, policy):
+        replicas = math.ceil(min_replicas - EPSILON) + number * step
+        selected = _select_cheapest(
+            reclaimable, max(0.0, replicas - required_after_loss), replicas
+        )
+        if not _survives(selected, replicas, required_after_loss, policy):
             continue
-        if best is None or bought.cost < best.cost - SMALL:
-            best = bought
+        if best is None or selected.cost < best.cost - EPSILON:
+            best = selected
         else:
-            worse += 1
-        if worse > 2:
+            worse_count += 1
+        if worse_count > 2:
             break
-    return None if best is None else _join(fixed, best)
+    return None if best is None else _combine(on_demand_selection, best)
 
 
 def _survives(
-    bought: _Purchase, units: float, missing: float, policy: PlacementPolicy
+    selected: _Selection,
+    replicas: float,
+    required_after_loss: float,
+    policy: PlacementPolicy,
 ) -> bool:
-    if bought.units + SMALL < units:
+    if selected.replicas + EPSILON < replicas:
         return False
-    share = math.ceil(policy.reclaimed_share * bought.units - SMALL)
-    lost = max(bought.largest_data_centre, share)
-    return bought.units - lost + SMALL >= missing
+    share = math.ceil(policy.max_reclaimed_share * selected.replicas - EPSILON)
+    lost = max(selected.max_per_data_centre, share)
+    return selected.replicas - lost + EPSILON >= required_after_loss
+
 
+def _select_cheapest(
+    tiers: list[_Tier], cap: float, replicas: float
+) -> _Selection:
+    """Select VMs in order of price until they provide `replicas` replicas.
 
-def _buy(tiers: list[_Tier], cap: float, units: float) -> _Purchase:
-    """Buy the cheapest first, at most `cap` units in a data centre."""
+    At most `cap` replicas are taken from each data centre.
+    """
     counts: dict[Offer, int] = {}
-    units_by_data_centre: dict[str, float] = {}
+    replicas_by_data_centre: dict[str, float] = {}
     cost = 0.0
     total = 0.0
     for tier in tiers:
-        if total + SMALL >= units:
+        if total + EPSILON >= replicas:
             break
-        name = tier.offer.data_centre
-        room = cap - units_by_data_centre.get(name, 0.0)
-        wanted = math.ceil((units - total) / tier.weight - SMALL)
-        fitting = room / tier.weight + SMALL
-        count = int(min(wanted, fitting, tier.limit))
+        data_centre = tier.offer.data_centre
+        replicas_left = cap - replicas_by_data_centre.get(data_centre, 0.0)
+        wanted_vms = math.ceil((replicas - total) / tier.weight - EPSILON)
+        fitting_vms = replicas_left / tier.weight + EPSILON
+        count = int(min(wanted_vms, fitting_vms, tier.limit))
         if count <= 0:
             continue
-        bought = count * tier.weight
+        added_replicas = count * tier.weight
         counts[tier.offer] = counts.get(tier.offer, 0) + count
-        units_by_data_centre[name] = (
-            units_by_data_centre.get(name, 0.0) + bought
+        replicas_by_data_centre[data_centre] = (
+            replicas_by_data_centre.get(data_centre, 0.0) + added_replicas
         )
-        total += bought
-        cost += bought * tier.unit_price
-    return _Purchase(
+        total += added_replicas
+        cost += added_replicas * tier.price_per_replica
+    return _Selection(
         counts=counts,
         cost=cost,
-        units=total,
-        largest_data_centre=max(units_by_data_centre.values(), default=0.0),
+        replicas=total,
+        max_per_data_centre=max(replicas_by_data_centre.values(), default=0.0),
     )
 
 
-def _join(fixed: _Purchase, bought: _Purchase) -> _Purchase:
-    return _Purchase(
-        counts={**fixed.counts, **bought.counts},
-        cost=fixed.cost + bought.cost,
-        units=fixed.units + bought.units,
-        largest_data_centre=bought.largest_data_centre,
+def _combine(
+    on_demand_selection: _Selection, selected: _Selection
+) -> _Selection:
+    return _Selection(
+        counts={**on_demand_selection.counts, **selected.counts},
+        cost=on_demand_selection.cost + selected.cost,
+        replicas=on_demand_selection.replicas + selected.replicas,
+        max_per_data_centre=selected.max_per_data_centre,
     )
--- a/packages/mimosamux-daemon/mimosamux_daemon/control/planner.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/control/planner.py
@@ -1,7 +1,10 @@
-"""The planner of a data centre: looks, plans and orders, while it leads.
+"""The control loop that scales the VMs of one data centre.
 
-All planners see the same demand, prices and VMs and so come to the same
-plan for all data centres; each gives the orders of its own.
+While it holds the lease of its data centre, a planner repeatedly fetches
+the state of the cloud, computes a plan and starts or stops VMs. Every
+planner computes the plan for all data centres from the same demand, prices
+and VMs, so the plans agree; each carries out the part of its own data
+centre.
 """
 
 from collections import Counter
@@ -58,25 +61,30 @@
     """Times in seconds, and the constants of planning."""
 
     interval_s: float = 5.0
+    """Longest time between two planning rounds."""
     notice_poll_s: float = 1.0
+    """Interval of polling for reclaim notices."""
     settle_s: float = 10.0
-    """A new holder learns the demand for so long before it orders."""
+    """Time for which a new lease holder collects demand before it starts
+    or stops VMs."""
     call_timeout_s: float = 2.0
     demand: DemandPolicy = field(default_factory=DemandPolicy)
     planning: PlanningPolicy = field(default_factory=PlanningPolicy)
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class View:
-    """What the platform shows at one moment."""
+class CloudSnapshot:
+    """State of the cloud from one round of calls."""
 
     vms: tuple[VM, ...]
-    noticed: frozenset[VMId]
-    asked_at: float
+    reclaim_noticed: frozenset[VMId]
+    """VMs with a reclaim notice."""
+    requested_at: float
+    """Time of the request, on the monotonic clock."""
 
 
 class Planner:
-    """Keeps the lease of a data centre and plans while it is held."""
+    """Plans and scales one data centre while it holds the lease."""
 
     def __init__(
         self,
@@ -107,13 +115,13 @@
         self._reports = reports
         self._policy = policy or PlannerPolicy()
         self._prices: dict[Offer, float] = {}
-        self._sequence = 0
-        self._woken = anyio.Event()
-        # Other data centres have to start what this one cannot get, and
-        # the other way round; waiting for the next look would leave the
-        # targets unmet for longer.
+        self._summary_sequence = 0
+        self._wake_event = anyio.Event()
+        # When the cloud refuses a VM in one data centre, the others have
+        # to start a replacement. Planning at once, not at the next
+        # interval, shortens the time for which targets are missed.
         parts.on_refused = self.wake
-        exchange.call_on_news(self.wake)
+        exchange.set_change_callback(self.wake)
 
     @property
     def lease(self) -> Lease | None:
@@ -121,17 +129,17 @@
         return self._keeper.held
 
     async def run(self) -> None:
-        """Wait for the lease and plan while it is held, for ever."""
-        await self._keeper.run(self._lead)
+        """Acquire the lease and plan while holding it, until cancelled."""
+        await self._keeper.run(self._plan_under_lease)
 
     def wake(self) -> None:
-        """Plan at once: a reclaim notice or a new configuration came."""
-        self._woken.set()
+        """Start the next planning round at once, such as after a refusal."""
+        self._wake_event.set()
 
-    async def _lead(self, lease: Lease) -> None:
+    async def _plan_under_lease(self, lease: Lease) -> None:
         forecast = Forecast(policy=self._policy.demand)
-        forecast.seed(self._exchange.earlier_forecast())
-        may_order_at = anyio.current_time() + self._policy.settle_s
+        forecast.seed(self._exchange.previous_forecast())
+        can_order_at = anyio.current_time() + self._policy.settle_s
         async with anyio.create_task_group() as tasks:
             orders = Orders(
                 data_centre=self._data_centre,
@@ -146,57 +154,57 @@
                 lease=lease,
                 tasks=tasks,
             )
-            noticed: frozenset[VMId] = frozenset()
+            reclaim_noticed: frozenset[VMId] = frozenset()
             while True:
-                view = await self._look()
-                if view is not None:
-                    noticed = view.noticed
-                    may_order = anyio.current_time() >= may_order_at
+                snapshot = await self._fetch_snapshot()
+                if snapshot is not None:
+                    reclaim_noticed = snapshot.reclaim_noticed
+                    can_order = anyio.current_time() >= can_order_at
                     await self._plan_once(
-                        orders, lease, view, forecast, may_order
+                        orders, lease, snapshot, forecast, can_order
                     )
-                await self._wait(noticed)
+                await self._wait_for_next_round(reclaim_noticed)
 
     async def _plan_once(
         self,
         orders: Orders,
         lease: Lease,
-        view: View,
+        snapshot: CloudSnapshot,
         forecast: Forecast,
-        may_order: bool,
+        can_order: bool,
     ) -> None:
         demands = forecast.update(self._exchange.own_demand())
         own_vms = [
-            vm for vm in view.vms if vm.data_centre == self._data_centre
+            vm for vm in snapshot.vms if vm.data_centre == self._data_centre
         ]
-        may_order &= await orders.settle(own_vms, view.asked_at)
-        self._rates.learn(self._reports())
-        counts = count_own(orders, view, own_vms)
-        await self._share(orders, lease, demands, counts)
-        world = self._describe(orders, view, counts)
+        can_order &= await orders.settle(own_vms, snapshot.requested_at)
+        self._rates.add_reports(self._reports())
+        counts = count_own(orders, snapshot, own_vms)
+        await self._exchange_summary(orders, lease, demands, counts)
+        world = self._build_observed_state(orders, snapshot, counts)
         self.plan = make_plan(
             PlanInput(
                 configuration=self._configuration(),
-                demands=self._exchange.add_elsewhere(demands),
+                demands=self._exchange.add_remote_demand(demands),
                 rates={
-                    **self._exchange.rates_elsewhere(),
+                    **self._exchange.remote_rates(),
                     **self._rates.current,
                 },
                 prices=self._prices,
                 running=world.running,
                 refused=self._parts.backoff.suspended()
-                | self._exchange.refused_elsewhere(),
+                | self._exchange.remote_refused_offers(),
             ),
             self._policy.planning,
         )
-        if not may_order or not self._configuration().version:
+        if not can_order or not self._configuration().version:
             return
         steps = find_steps(
             self.plan, world, self._configuration(), self._policy.planning
         )
-        await self._order(orders, steps)
+        await self._carry_out(orders, steps)
 
-    async def _order(self, orders: Orders, steps: Steps) -> None:
+    async def _carry_out(self, orders: Orders, steps: Steps) -> None:
         if steps.starts or steps.stops:
             log.info(
                 'plan_changed',
@@ -208,18 +216,18 @@
         await orders.start(steps.starts)
         await orders.stop(steps.stops, steps.stop_reason)
 
-    async def _share(
+    async def _exchange_summary(
         self,
         orders: Orders,
         lease: Lease,
         demands: Sequence[ClassDemand],
         counts: Sequence[OfferCount],
     ) -> None:
-        self._sequence += 1
+        self._summary_sequence += 1
         summary = make_summary(
             data_centre=self._data_centre,
             fencing=lease.fencing,
-            sequence=self._sequence,
+            sequence=self._summary_sequence,
             demands=demands,
             rates=self._rates.current,
             refused=self._parts.backoff.suspended(),
@@ -228,18 +236,21 @@
         )
         await self._exchange.exchange(summary, self.plan.ceiling_shortfalls)
 
-    async def _look(self) -> View | None:
-        """Return what the platform shows; None if it does not answer.
+    async def _fetch_snapshot(self) -> CloudSnapshot | None:
+        """Fetch the state of the cloud; return None if a call fails.
 
-        Nothing is ordered on a half view: a VM that is missing from it
-        would be started a second time.
+        Planning on a partial snapshot would start a second copy of each
+        VM that is missing from it.
         """
-        asked_at = anyio.current_time()
-        told = self._exchange.counts_elsewhere()
-        unknown = set(self._configuration().data_centres) - told.keys()
+        requested_at = anyio.current_time()
+        reported_counts = self._exchange.remote_counts()
+        unknown = (
+            set(self._configuration().data_centres) - reported_counts.keys()
+        )
         with anyio.move_on_after(self._policy.call_timeout_s):
-            # Whole lists of all data centres would be most of what a
-            # planner receives; those that told their counts are left out.
+            # Full VM lists of all data centres would make up most of a
+            # planner's traffic. Data centres whose planners reported VM
+            # counts are left out.
             vms = await self._cloud.list_vms({self._data_centre, *unknown})
             notices = await self._cloud.list_notices()
             prices = await self._cloud.list_prices()
@@ -250,47 +261,54 @@
             if not isinstance(prices, Unavailable):
                 for price in prices:
                     self._prices[offer_of(price)] = price.per_hour
-            return View(
+            return CloudSnapshot(
                 vms=vms,
-                noticed=frozenset(notice.vm for notice in notices),
-                asked_at=asked_at,
+                reclaim_noticed=frozenset(notice.vm for notice in notices),
+                requested_at=requested_at,
             )
         return None
 
-    async def _wait(self, noticed: frozenset[VMId]) -> None:
-        """Wait for the next look, cut short by a new reclaim notice."""
+    async def _wait_for_next_round(
+        self, reclaim_noticed: frozenset[VMId]
+    ) -> None:
+        """Wait for the interval, a wake-up or a new reclaim notice."""
         with anyio.move_on_after(self._policy.interval_s):
-            while not self._woken.is_set():
+            while not self._wake_event.is_set():
                 with anyio.move_on_after(self._policy.notice_poll_s):
-                    await self._woken.wait()
-                if await self._has_new_notice(noticed):
+                    await self._wake_event.wait()
+                if await self._has_new_notice(reclaim_noticed):
                     break
-        self._woken = anyio.Event()
+        self._wake_event = anyio.Event()
 
-    async def _has_new_notice(self, noticed: frozenset[VMId]) -> bool:
+    async def _has_new_notice(self, reclaim_noticed: frozenset[VMId]) -> bool:
         with anyio.move_on_after(self._policy.call_timeout_s):
             notices = await self._cloud.list_notices()
             if not isinstance(notices, Unavailable):
-                return any(notice.vm not in noticed for notice in notices)
+                return any(
+                    notice.vm not in reclaim_noticed for notice in notices
+                )
         return False
 
-    def _describe(
-        self, orders: Orders, view: View, own_counts: Sequence[OfferCount]
+    def _build_observed_state(
+        self,
+        orders: Orders,
+        snapshot: CloudSnapshot,
+        own_counts: Sequence[OfferCount],
     ) -> World:
-        own = _own_orders(orders, view)
-        told = self._exchange.counts_elsewhere()
-        stopping = self._exchange.stopping_elsewhere()
+        own = _own_orders(orders, snapshot)
+        reported_counts = self._exchange.remote_counts()
+        stopping = self._exchange.remote_stopping_vms()
         listed = [
             vm
-            for vm in view.vms
+            for vm in snapshot.vms
             if vm.data_centre != self._data_centre
-            and vm.data_centre not in told
-            and vm.id not in view.noticed
+            and vm.data_centre not in reported_counts
+            and vm.id not in snapshot.reclaim_noticed
         ]
         counts = [
             *own_counts,
             *_count_listed(listed, stopping),
-            *(item for items in told.values() for item in items),
+            *(item for items in reported_counts.values() for item in items),
         ]
         return World(
             data_centre=self._data_centre,
@@ -307,41 +325,45 @@
 
 
 def count_own(
-    orders: Orders, view: View, vms: Sequence[VM]
+    orders: Orders, snapshot: CloudSnapshot, vms: Sequence[VM]
 ) -> tuple[OfferCount, ...]:
-    """Return the VMs of the planner's own data centre."""
+    """Count the VMs of the planner's own data centre by model and offer."""
     running: Counter[ModelOffer] = Counter()
     live: Counter[ModelOffer] = Counter()
     paid: Counter[ModelOffer] = Counter()
-    for order in _own_orders(orders, view):
+    for order in _own_orders(orders, snapshot):
         running[order.model, order.offer] += 1
         live[order.model, order.offer] += orders.is_live(order)
     listed = {vm.id for vm in vms}
     for vm in vms:
-        if _is_paid_endpoint(vm) and vm.id not in view.noticed:
+        if _is_paid_endpoint(vm) and vm.id not in snapshot.reclaim_noticed:
             paid[vm.model or ModelName(''), offer_of(vm)] += 1
-    for order in _own_orders(orders, view):
+    for order in _own_orders(orders, snapshot):
         paid[order.model, order.offer] += order.vm not in listed
     return _as_counts(running, live, paid)
 
 
-def _own_orders(orders: Orders, view: View) -> list[VMOrder]:
-    return [order for order in orders.active() if order.vm not in view.noticed]
+def _own_orders(orders: Orders, snapshot: CloudSnapshot) -> list[VMOrder]:
+    return [
+        order
+        for order in orders.active()
+        if order.vm not in snapshot.reclaim_noticed
+    ]
 
 
 def _count_listed(
     vms: Sequence[VM], stopping: frozenset[VMId]
 ) -> tuple[OfferCount, ...]:
-    """Return the VMs of data centres that have not told their counts."""
+    """Count the listed VMs of data centres that reported no counts."""
     running: Counter[ModelOffer] = Counter()
     live: Counter[ModelOffer] = Counter()
     paid: Counter[ModelOffer] = Counter()
     for vm in filter(_is_paid_endpoint, vms):
         key = (vm.model or ModelName(''), offer_of(vm))
         paid[key] += 1
-        stays = vm.state is not VMState.LEAVING and vm.id not in stopping
-        running[key] += stays
-        live[key] += stays and vm.state is VMState.LIVE
+        is_staying = vm.state is not VMState.LEAVING and vm.id not in stopping
+        running[key] += is_staying
+        live[key] += is_staying and vm.state is VMState.LIVE
     return _as_counts(running, live, paid)
 
 
--- a/packages/mimosamux-daemon/mimosamux_daemon/control/planning.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/control/planning.py
@@ -1,11 +1,16 @@
-"""From demand, targets, ceilings and prices to a plan; data in, plan out."""
+"""Computes the plan of VMs from demand, targets, ceilings and prices.
+
+The computation is pure. It finds the cheapest VMs that meet the latency
+targets, and where a class exceeds its cost ceiling, it plans for only the
+share of the class's requests that the ceiling pays for.
+"""
 
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass, field
 
 from mimosamux_daemon.control.capacity import (
     CapacityPolicy,
-    find_load,
+    compute_offered_load,
     find_need,
 )
 from mimosamux_daemon.control.placement import (
@@ -30,15 +35,16 @@
 DEFAULT_RATE = ServiceRate(
     prefill_tokens_per_s=10_000.0, decode_interval_s=0.03, slots=16
 )
-"""Rate of a replica of which nothing has been learned yet."""
-CEILING_ROUNDS = 8
-LEAST_SHARE = 0.02
-"""An admitted share below this is planned as none."""
+"""Assumed rate of a replica until an engine reports a measured one."""
+MAX_CEILING_ROUNDS = 8
+"""Iterations in which the admitted shares may converge."""
+MIN_ADMITTED_SHARE = 0.02
+"""An admitted share below this is rounded down to 0."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class PlanningPolicy:
-    """Constants of planning; docs/DECISIONS.md has the sweeps."""
+    """Constants of planning; docs/DECISIONS.md has the parameter sweeps."""
 
     capacity: CapacityPolicy = field(default_factory=CapacityPolicy)
     placement: PlacementPolicy = field(default_factory=PlacementPolicy)
@@ -46,191 +52,203 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class PlanInput:
-    """All that a plan follows from."""
+    """Inputs that determine a plan."""
 
     configuration: Configuration
     demands: Sequence[ClassDemand]
     rates: Mapping[tuple[ModelName, str], ServiceRate]
     """Learned rates by model and machine class."""
     prices: Mapping[Offer, float]
-    """Money an hour."""
+    """Price of one VM per hour."""
     running: Mapping[ModelOffer, int]
-    """VMs that were started and are not leaving."""
+    """Number of VMs that were started and are not being stopped."""
     refused: frozenset[Offer] = frozenset()
-    """Offers that had nothing to give a short time ago."""
+    """Offers of which the cloud recently refused to start a VM."""
+
 
+def make_plan(inputs: PlanInput, policy: PlanningPolicy) -> Plan:
+    """Return the cheapest plan within the cost ceilings.
 
-def make_plan(known: PlanInput, policy: PlanningPolicy) -> Plan:
-    """Return the cheapest plan within the ceilings."""
-    shares: dict[ClassName, float] = {}
-    full = _plan_models(known, policy, shares)
-    plan = full
-    for _ in range(CEILING_ROUNDS):
-        costs = _cost_by_class(known, plan, shares)
-        over = {
+    The plan starts from the full demand. Each round scales down the
+    admitted share of every class that costs more than its ceiling and
+    plans again. Classes that still exceed it after the last round get
+    no capacity.
+    """
+    admitted_shares: dict[ClassName, float] = {}
+    unconstrained = _plan_models(inputs, policy, admitted_shares)
+    plan = unconstrained
+    for _ in range(MAX_CEILING_ROUNDS):
+        costs = _split_cost(inputs, plan, admitted_shares)
+        over_ceiling = {
             name: cost
             for name, cost in costs.items()
-            if cost > _ceiling(known, name) and shares.get(name, 1.0) > 0
+            if cost > _ceiling(inputs, name)
+            and admitted_shares.get(name, 1.0) > 0
         }
-        if not over:
+        if not over_ceiling:
             break
-        for name, cost in over.items():
-            fitting = 0.95 * _ceiling(known, name) / cost
-            share = shares.get(name, 1.0) * fitting
-            shares[name] = share if share >= LEAST_SHARE else 0.0
-        plan = _plan_models(known, policy, shares)
+        for name, cost in over_ceiling.items():
+            affordable = 0.95 * _ceiling(inputs, name) / cost
+            share = admitted_shares.get(name, 1.0) * affordable
+            admitted_shares[name] = (
+                share if share >= MIN_ADMITTED_SHARE else 0.0
+            )
+        plan = _plan_models(inputs, policy, admitted_shares)
     else:
-        for name in over:
-            shares[name] = 0.0
-        plan = _plan_models(known, policy, shares)
-    return _with_shortfalls(known, plan, full, shares)
+        for name in over_ceiling:
+            admitted_shares[name] = 0.0
+        plan = _plan_models(inputs, policy, admitted_shares)
+    return _with_shortfalls(inputs, plan, unconstrained, admitted_shares)
 
 
 def _plan_models(
-    known: PlanInput,
+    inputs: PlanInput,
     policy: PlanningPolicy,
-    shares: Mapping[ClassName, float],
+    admitted_shares: Mapping[ClassName, float],
 ) -> Plan:
     counts: dict[ModelOffer, int] = {}
     needs: dict[ModelName, Need] = {}
     weights: dict[tuple[ModelName, str], float] = {}
-    short: list[CapacityShortfall] = []
-    for model, spec in known.configuration.models.items():
-        own_weights = _weights(known, spec)
-        need = _find_need(known, spec, policy, shares)
-        placed = _place_model(known, spec, own_weights, need, policy)
+    shortfalls: list[CapacityShortfall] = []
+    for model, spec in inputs.configuration.models.items():
+        model_weights = _capacity_weights(inputs, spec)
+        need = _compute_need(inputs, spec, policy, admitted_shares)
+        placed = _place_model(inputs, spec, model_weights, need, policy)
         needs[model] = need
-        for machine_class, weight in own_weights.items():
+        for machine_class, weight in model_weights.items():
             weights[model, machine_class] = weight
         for offer, count in placed.counts.items():
             counts[model, offer] = count
         if not placed.meets_need:
-            short.append(
+            shortfalls.append(
                 CapacityShortfall(
                     model=model,
                     needed=max(need.normal, need.after_loss),
-                    planned=placed.units,
+                    planned=placed.replicas,
                 )
             )
     return Plan(
         counts=counts,
         needs=needs,
         per_hour=sum(
-            count * known.prices[offer] for (_, offer), count in counts.items()
+            count * inputs.prices[offer]
+            for (_, offer), count in counts.items()
         ),
-        capacity_shortfalls=tuple(short),
+        capacity_shortfalls=tuple(shortfalls),
         weights=weights,
     )
 
 
-def _find_need(
-    known: PlanInput,
+def _compute_need(
+    inputs: PlanInput,
     spec: ModelSpec,
     policy: PlanningPolicy,
-    shares: Mapping[ClassName, float],
+    admitted_shares: Mapping[ClassName, float],
 ) -> Need:
     demands = [
-        demand.scaled(shares.get(demand.work_class, 1.0))
-        for demand in known.demands
+        demand.scaled(admitted_shares.get(demand.work_class, 1.0))
+        for demand in inputs.demands
         if demand.model == spec.name
     ]
-    if demands and all(shares.get(item.work_class) == 0.0 for item in demands):
+    if demands and all(
+        admitted_shares.get(item.work_class) == 0.0 for item in demands
+    ):
         return Need(normal=0.0, after_loss=0.0)
     return find_need(
         demands,
-        known.configuration.classes,
-        _reference_rate(known, spec),
+        inputs.configuration.classes,
+        _reference_rate(inputs, spec),
         policy.capacity,
     )
 
 
 def _place_model(
-    known: PlanInput,
+    inputs: PlanInput,
     spec: ModelSpec,
     weights: Mapping[str, float],
     need: Need,
     policy: PlanningPolicy,
 ) -> Placement:
-    data_centres = known.configuration.data_centres
+    data_centres = inputs.configuration.data_centres
     offers = [
         PricedOffer(
             offer=offer,
             per_hour=per_hour,
             weight=weights[offer.machine_class],
-            running=known.running.get((spec.name, offer), 0),
-            can_start=offer not in known.refused,
+            running=inputs.running.get((spec.name, offer), 0),
+            can_start=offer not in inputs.refused,
         )
-        for offer, per_hour in known.prices.items()
+        for offer, per_hour in inputs.prices.items()
         if offer.machine_class in spec.machine_classes
         and offer.data_centre in data_centres
     ]
     return place(need, offers, policy.placement)
 
 
-def _reference_rate(known: PlanInput, spec: ModelSpec) -> ServiceRate:
-    learned = [
-        known.rates[spec.name, machine_class]
+def _reference_rate(inputs: PlanInput, spec: ModelSpec) -> ServiceRate:
+    known_rates = [
+        inputs.rates[spec.name, machine_class]
         for machine_class in spec.machine_classes
-        if (spec.name, machine_class) in known.rates
+        if (spec.name, machine_class) in inputs.rates
     ]
-    return learned[0] if learned else DEFAULT_RATE
+    return known_rates[0] if known_rates else DEFAULT_RATE
 
 
-def _weights(known: PlanInput, spec: ModelSpec) -> dict[str, float]:
-    reference = _reference_rate(known, spec)
+def _capacity_weights(inputs: PlanInput, spec: ModelSpec) -> dict[str, float]:
+    reference = _reference_rate(inputs, spec)
     return {
-        machine_class: _weight(
-            known.rates.get((spec.name, machine_class), reference), reference
+        machine_class: _capacity_weight(
+            inputs.rates.get((spec.name, machine_class), reference), reference
         )
         for machine_class in spec.machine_classes
     }
 
 
-def _weight(rate: ServiceRate, reference: ServiceRate) -> float:
+def _capacity_weight(rate: ServiceRate, reference: ServiceRate) -> float:
     return min(
         rate.prefill_tokens_per_s / reference.prefill_tokens_per_s,
         rate.answer_tokens_per_s / reference.answer_tokens_per_s,
     )
 
 
-def _cost_by_class(
-    known: PlanInput, plan: Plan, shares: Mapping[ClassName, float]
+def _split_cost(
+    inputs: PlanInput, plan: Plan, admitted_shares: Mapping[ClassName, float]
 ) -> dict[ClassName, float]:
-    """Share the cost of each model's VMs by the load of its classes."""
+    """Split the cost of each model's VMs by the load of its classes."""
     costs: dict[ClassName, float] = {}
-    for model, spec in known.configuration.models.items():
-        rate = _reference_rate(known, spec)
+    for model, spec in inputs.configuration.models.items():
+        rate = _reference_rate(inputs, spec)
         loads = {
-            demand.work_class: find_load(demand, rate)
-            * shares.get(demand.work_class, 1.0)
-            for demand in known.demands
+            demand.work_class: compute_offered_load(demand, rate)
+            * admitted_shares.get(demand.work_class, 1.0)
+            for demand in inputs.demands
             if demand.model == model
         }
         total = sum(loads.values())
         if not total:
             continue
         per_hour = sum(
-            count * known.prices[offer]
-            for (owner, offer), count in plan.counts.items()
-            if owner == model
+            count * inputs.prices[offer]
+            for (owning_model, offer), count in plan.counts.items()
+            if owning_model == model
         )
         for name, load in loads.items():
             costs[name] = costs.get(name, 0.0) + per_hour * load / total
     return costs
 
 
-def _ceiling(known: PlanInput, name: ClassName) -> float:
-    work_class = known.configuration.classes.get(name)
+def _ceiling(inputs: PlanInput, name: ClassName) -> float:
+    work_class = inputs.configuration.classes.get(name)
     return work_class.cost_ceiling_per_hour if work_class else 0.0
 
 
 def _with_shortfalls(
-    known: PlanInput,
+    inputs: PlanInput,
     plan: Plan,
-    full: Plan,
-    shares: Mapping[ClassName, float],
+    unconstrained: Plan,
+    admitted_shares: Mapping[ClassName, float],
 ) -> Plan:
-    needed = _cost_by_class(known, full, {})
+    needed = _split_cost(inputs, unconstrained, {})
     return Plan(
         counts=plan.counts,
         needs=plan.needs,
@@ -241,9 +259,9 @@
             CeilingShortfall(
                 work_class=name,
                 needed_per_hour=needed[name],
-                ceiling_per_hour=_ceiling(known, name),
+                ceiling_per_hour=_ceiling(inputs, name),
                 admitted_share=share,
             )
-            for name, share in sorted(shares.items())
+            for name, share in sorted(admitted_shares.items())
         ),
     )
--- a/packages/mimosamux-daemon/mimosamux_daemon/control/planning_exchange.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/control/planning_exchange.py
@@ -1,9 +1,11 @@
-"""How planners and daemons share demand: small summaries, no copies.
-
-The planner of a data centre asks each daemon there in turn; the question
-carries what it decided and the answer carries the daemon's demand and the
-summaries that reached it from other data centres. A summary goes to one
-daemon of each other data centre, whichever has its lease.
+"""Exchange of demand, capacity and plans between planners and daemons.
+
+In each planning round, a planner calls every other daemon of its data
+centre. The request carries the planner's summary and the ceilings that it
+enforces; the answer carries the daemon's demand and the summaries that it
+received from other data centres. The planner also sends its summary to one
+random daemon of each other data centre, which need not be the lease holder
+there; the planner there collects the summary with its own calls.
 """
 
 import random
@@ -42,29 +44,33 @@
 from mimosamux_daemon.domain.vms import Market
 from mimosamux_daemon.ports.peer import Peers
 
-STALE_S = 900.0
-"""Age at which what another data centre told is left out.
+SUMMARY_TTL_S = 900.0
+"""Age at which a summary of another data centre expires.
 
-Regions lose each other for minutes; dropping their demand sooner would
-take VMs away that are needed when they come together again.
+Network partitions between regions last minutes. Dropping the demand of
+another region sooner would stop VMs that are needed when it reconnects.
 """
-COUNTS_STALE_S = 20.0
-"""Age at which the VMs of a data centre are looked up in the list."""
-DAEMON_STALE_S = 20.0
-"""Age at which what a daemon told is left out."""
-ASK_TIMEOUT_S = 1.0
+COUNTS_TTL_S = 20.0
+"""Age at which reported VM counts expire; the cloud's list replaces them."""
+DAEMON_DEMAND_TTL_S = 20.0
+"""Age at which the demand of a daemon expires."""
+CALL_TIMEOUT_S = 1.0
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Heard:
-    """A summary and when it came in."""
+class ReceivedSummary:
+    """A summary and the monotonic time of its arrival."""
 
     summary: PlanningSummary
-    at: float
+    received_at: float
 
 
 class PlanningNews:
-    """What one daemon knows of planning; every daemon has one."""
+    """A daemon's view of planning, whether or not it is the planner.
+
+    It keeps the newest summary of each data centre, and puts the ceiling
+    shortfalls of the planner in force at the daemon's admission control.
+    """
 
     def __init__(
         self,
@@ -76,64 +82,67 @@
     ) -> None:
         self.meter = meter
         self.ceilings = ceilings
-        self.by_data_centre: dict[str, Heard] = {}
-        self.on_news: Callable[[], None] = lambda: None
-        """Called when another data centre lost VMs or is refused some."""
+        self.by_data_centre: dict[str, ReceivedSummary] = {}
+        self.on_capacity_change: Callable[[], None] = lambda: None
+        """Called when another data centre is new, has fewer VMs, or its
+        set of refused offers changes."""
         self._data_centre = data_centre
-        self.own_summary: PlanningSummary | None = None
-        self._untold: set[str] = set()
+        self.latest_own_summary: PlanningSummary | None = None
+        self._unforwarded: set[str] = set()
         if peers is not None:
-            peers.handle(PlanTold, self._take_plan)
-            peers.handle(PlanningSummary, self._take_from_peer)
+            peers.handle(PlanTold, self._handle_plan)
+            peers.handle(PlanningSummary, self._handle_summary)
 
-    def take_summary(self, summary: PlanningSummary) -> None:
-        """Keep the summary of another data centre if it is news."""
+    def merge_summary(self, summary: PlanningSummary) -> None:
+        """Keep the summary of another data centre if it is newer."""
         name = summary.data_centre
         known = self.by_data_centre.get(name)
         if name == self._data_centre:
             return
-        if known is not None and _age(summary) <= _age(known.summary):
+        if known is not None and _version(summary) <= _version(known.summary):
             return
-        self.by_data_centre[name] = Heard(
-            summary=summary, at=anyio.current_time()
+        self.by_data_centre[name] = ReceivedSummary(
+            summary=summary, received_at=anyio.current_time()
         )
-        self._untold.add(name)
-        if known is None or _needs_help(known.summary, summary):
-            self.on_news()
+        self._unforwarded.add(name)
+        if known is None or _has_lost_capacity(known.summary, summary):
+            self.on_capacity_change()
 
     def current_summaries(self) -> list[PlanningSummary]:
-        """Return what is known of other data centres and not stale."""
+        """Return the unexpired summaries of other data centres."""
         now = anyio.current_time()
         return [
-            heard.summary
-            for heard in self.by_data_centre.values()
-            if now - heard.at <= STALE_S
+            received.summary
+            for received in self.by_data_centre.values()
+            if now - received.received_at <= SUMMARY_TTL_S
         ]
 
-    async def _take_plan(
+    async def _handle_plan(
         self, sender: DaemonId, message: PlanTold
     ) -> DemandTold:
-        # A planner that was paused may still tell what it decided before
-        # its successor did; its number is lower.
-        own = self.own_summary
-        if own is None or _age(message.summary) >= _age(own):
-            self.own_summary = message.summary
+        # A planner that was paused may send a plan that is older than its
+        # successor's; its fencing token is lower.
+        own = self.latest_own_summary
+        if own is None or _version(message.summary) >= _version(own):
+            self.latest_own_summary = message.summary
             self.ceilings.take(map(_as_shortfall, message.shortfalls))
-        untold, self._untold = self._untold, set()
+        unforwarded, self._unforwarded = self._unforwarded, set()
         return DemandTold(
             demands=[_as_record(item) for item in self.meter.current()],
-            summaries=[self.by_data_centre[name].summary for name in untold],
+            summaries=[
+                self.by_data_centre[name].summary for name in unforwarded
+            ],
         )
 
-    async def _take_from_peer(
+    async def _handle_summary(
         self, sender: DaemonId, message: PlanningSummary
     ) -> Message | None:
-        self.take_summary(message)
+        self.merge_summary(message)
         return None
 
 
 class PlanningExchange:
-    """The planner's side of the exchange."""
+    """The planner's side of the exchange with all other daemons."""
 
     def __init__(
         self,
@@ -153,66 +162,71 @@
         self._own_daemons = own_daemons
         self._other_daemons = other_daemons
         self._randomness = randomness
-        self._told_by_daemon: dict[
+        self._demand_by_daemon: dict[
             DaemonId, tuple[float, tuple[ClassDemand, ...]]
         ] = {}
 
-    def call_on_news(self, action: Callable[[], None]) -> None:
-        """Have an action run when VMs elsewhere are lost or refused."""
-        self._news.on_news = action
+    def set_change_callback(self, action: Callable[[], None]) -> None:
+        """Set the callback for VMs lost or refused in other data centres."""
+        self._news.on_capacity_change = action
 
     async def exchange(
         self,
         summary: PlanningSummary,
         shortfalls: Iterable[CeilingShortfall],
     ) -> None:
-        """Tell what was decided, and learn the demand of everybody."""
+        """Send the summary and the shortfalls, and collect demand."""
         shortfalls = tuple(shortfalls)
         self._news.ceilings.take(shortfalls)
         if self._peers is None:
             return
         plan = PlanTold(
-            summary=summary, shortfalls=[_as_told(item) for item in shortfalls]
+            summary=summary,
+            shortfalls=[_as_shortfall_record(item) for item in shortfalls],
         )
         async with anyio.create_task_group() as tasks:
             for daemon in self._own_daemons():
                 if daemon != self._daemon:
-                    tasks.start_soon(self._ask, self._peers, daemon, plan)
+                    tasks.start_soon(
+                        self._exchange_with, self._peers, daemon, plan
+                    )
             for daemons in self._other_daemons().values():
                 if daemons:
                     chosen = self._randomness.choice(daemons)
-                    tasks.start_soon(_tell, self._peers, chosen, summary)
+                    tasks.start_soon(
+                        _send_summary, self._peers, chosen, summary
+                    )
 
     def own_demand(self) -> tuple[ClassDemand, ...]:
-        """Return the demand at the daemons of this data centre."""
+        """Return the total unexpired demand of this data centre."""
         now = anyio.current_time()
-        told = [
+        unexpired = [
             demands
-            for at, demands in self._told_by_daemon.values()
-            if now - at <= DAEMON_STALE_S
+            for received_at, demands in self._demand_by_daemon.values()
+            if now - received_at <= DAEMON_DEMAND_TTL_S
         ]
-        told.append(self._news.meter.current())
-        return sum_demands(item for demands in told for item in demands)
+        unexpired.append(self._news.meter.current())
+        return sum_demands(item for demands in unexpired for item in demands)
 
-    def earlier_forecast(self) -> tuple[ClassDemand, ...]:
-        """Return what the planner before this one forecast here."""
-        summary = self._news.own_summary
+    def previous_forecast(self) -> tuple[ClassDemand, ...]:
+        """Return the last forecast that a planner sent to this daemon."""
+        summary = self._news.latest_own_summary
         records = summary.demands if summary else []
         return tuple(_as_demand(record) for record in records)
 
-    def add_elsewhere(
+    def add_remote_demand(
         self, own: Iterable[ClassDemand]
     ) -> tuple[ClassDemand, ...]:
-        """Return the demand at every data centre, forecast by each."""
-        elsewhere = [
+        """Add the forecasts of the other data centres to the own one."""
+        remote = [
             _as_demand(record)
             for summary in self._news.current_summaries()
             for record in summary.demands
         ]
-        return sum_demands([*own, *elsewhere])
+        return sum_demands([*own, *remote])
 
-    def refused_elsewhere(self) -> frozenset[Offer]:
-        """Return the offers that gave nothing to other planners."""
+    def remote_refused_offers(self) -> frozenset[Offer]:
+        """Return the offers that the cloud refused to other planners."""
         return frozenset(
             Offer(
                 data_centre=DataCentreName(summary.data_centre),
@@ -223,7 +237,7 @@
             for record in summary.refused
         )
 
-    def stopping_elsewhere(self) -> frozenset[VMId]:
+    def remote_stopping_vms(self) -> frozenset[VMId]:
         """Return the VMs that other planners are draining."""
         return frozenset(
             VMId(vm)
@@ -231,22 +245,22 @@
             for vm in summary.stopping
         )
 
-    def counts_elsewhere(
+    def remote_counts(
         self,
     ) -> dict[DataCentreName, tuple[OfferCount, ...]]:
-        """Return the VMs of the data centres that told lately."""
+        """Return the unexpired VM counts by other data centre."""
         now = anyio.current_time()
         return {
             DataCentreName(name): tuple(
                 _as_count(DataCentreName(name), record)
-                for record in heard.summary.counts
+                for record in received.summary.counts
             )
-            for name, heard in self._news.by_data_centre.items()
-            if now - heard.at <= COUNTS_STALE_S
+            for name, received in self._news.by_data_centre.items()
+            if now - received.received_at <= COUNTS_TTL_S
         }
 
-    def rates_elsewhere(self) -> dict[tuple[ModelName, str], ServiceRate]:
-        """Return the rates that other planners have learned."""
+    def remote_rates(self) -> dict[tuple[ModelName, str], ServiceRate]:
+        """Return the service rates that other planners reported."""
         return {
             (ModelName(record.model), record.machine_class): ServiceRate(
                 prefill_tokens_per_s=record.prefill_tokens_per_s,
@@ -257,16 +271,16 @@
             for record in summary.rates
         }
 
-    async def _ask(
+    async def _exchange_with(
         self, peers: Peers, daemon: DaemonId, plan: PlanTold
     ) -> None:
-        answer = await peers.call(daemon, plan, timeout_s=ASK_TIMEOUT_S)
+        answer = await peers.call(daemon, plan, timeout_s=CALL_TIMEOUT_S)
         if not isinstance(answer, DemandTold):
             return
         demands = tuple(_as_demand(record) for record in answer.demands)
-        self._told_by_daemon[daemon] = (anyio.current_time(), demands)
+        self._demand_by_daemon[daemon] = (anyio.current_time(), demands)
         for summary in answer.summaries:
-            self._news.take_summary(summary)
+            self._news.merge_summary(summary)
 
 
 def make_summary(
@@ -280,7 +294,7 @@
     stopping: Iterable[VMId],
     counts: Iterable[OfferCount],
 ) -> PlanningSummary:
-    """Return the summary of a data centre for the others."""
+    """Build the summary that a planner sends to the other daemons."""
     return PlanningSummary(
         data_centre=data_centre,
         fencing=fencing,
@@ -318,21 +332,21 @@
     )
 
 
-async def _tell(
+async def _send_summary(
     peers: Peers, daemon: DaemonId, summary: PlanningSummary
 ) -> None:
-    with anyio.move_on_after(ASK_TIMEOUT_S):
+    with anyio.move_on_after(CALL_TIMEOUT_S):
         await peers.notify(daemon, summary)
 
 
-def _needs_help(old: PlanningSummary, new: PlanningSummary) -> bool:
-    """Return whether a data centre has fewer VMs, or other refusals."""
+def _has_lost_capacity(old: PlanningSummary, new: PlanningSummary) -> bool:
+    """Return whether a data centre has fewer VMs or changed refusals."""
     before = sum(record.running for record in old.counts)
     after = sum(record.running for record in new.counts)
     return after < before or old.refused != new.refused
 
 
-def _age(summary: PlanningSummary) -> tuple[int, int]:
+def _version(summary: PlanningSummary) -> tuple[int, int]:
     return summary.fencing, summary.sequence
 
 
@@ -370,7 +384,7 @@
     )
 
 
-def _as_told(shortfall: CeilingShortfall) -> ShortfallRecord:
+def _as_shortfall_record(shortfall: CeilingShortfall) -> ShortfallRecord:
     return ShortfallRecord(
         work_class=shortfall.work_class,
         needed_per_hour=shortfall.needed_per_hour,
--- a/packages/mimosamux-daemon/mimosamux_daemon/control/platform_seeds.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/control/platform_seeds.py
@@ -1,4 +1,4 @@
-"""Daemons that the platform's list of entry VMs names."""
+"""Seed addresses for discovery, from the settings and the platform."""
 
 import anyio
 
@@ -12,14 +12,14 @@
 FIRST_POLL_S = 2.0
 TIMEOUT_S = 2.0
 LIST_LIMIT = 64
-"""Daemons kept; a few are enough to learn of all others."""
+"""Maximum number of listed daemons; a few suffice to discover all."""
 
 
 class PlatformSeeds:
-    """The daemons of the settings, and those that the platform lists.
+    """Seed daemons from the settings and from the platform's entry VMs.
 
-    Where every daemon that the settings name has been replaced, a new one
-    would find nobody without the platform's list.
+    If every daemon in the settings has been replaced, a new daemon can
+    reach the others only through the platform's list.
     """
 
     def __init__(
@@ -35,17 +35,17 @@
         self._listed: tuple[PeerAddress, ...] = ()
 
     def current(self) -> tuple[PeerAddress, ...]:
-        """Return every seed that is known now."""
+        """Return all known seeds."""
         return (*self._fixed, *self._listed)
 
     async def run(self) -> None:
-        """Ask the platform now and then, until cancelled."""
+        """Refresh the platform's list periodically until cancelled."""
         while True:
             await self.poll()
             await anyio.sleep(POLL_S if self._listed else FIRST_POLL_S)
 
     async def poll(self) -> None:
-        """Take over the list, if it can be had."""
+        """Refresh the list; keep the old one if the platform fails."""
         with anyio.move_on_after(TIMEOUT_S):
             vms = await self._cloud.list_vms((self._data_centre,))
             if isinstance(vms, Unavailable):
--- a/packages/mimosamux-daemon/mimosamux_daemon/control/rates.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/control/rates.py
@@ -1,4 +1,4 @@
-"""Rates of replicas, learned from the load reports of the engines."""
+"""Service rates of replicas, estimated from the engines' load reports."""
 
 from collections.abc import Iterable, Mapping
 
@@ -7,39 +7,41 @@
 from mimosamux_daemon.domain.plan import ServiceRate
 from mimosamux_daemon.domain.vms import Endpoint
 
-SMOOTHING = 0.05
-"""Weight of the newest report."""
+EWMA_WEIGHT = 0.05
+"""Weight of the newest report in the moving average."""
 
 RateKey = tuple[ModelName, str]
 """Model and machine class."""
 
 
 class RateBook:
-    """Learned rates by model and machine class."""
+    """Exponential moving averages of rates by model and machine class."""
 
     def __init__(self) -> None:
         self._rates_by_key: dict[RateKey, ServiceRate] = {}
 
     @property
     def current(self) -> Mapping[RateKey, ServiceRate]:
-        """Return what has been learned so far."""
+        """Return the current estimates."""
         return self._rates_by_key
 
-    def learn(
+    def add_reports(
         self, reported: Iterable[tuple[Endpoint, LoadReport | None]]
     ) -> None:
-        """Take the newest report of each endpoint into account."""
+        """Add the newest report of each endpoint to the averages."""
         for endpoint, report in reported:
             if endpoint.model is None or report is None or not report.slots:
                 continue
-            self.take(
+            self.add(
                 (endpoint.model, endpoint.machine_class), _as_rate(report)
             )
 
-    def take(self, key: RateKey, rate: ServiceRate) -> None:
-        """Take one measured rate into account."""
+    def add(self, key: RateKey, rate: ServiceRate) -> None:
+        """Add one measured rate to its average."""
         old = self._rates_by_key.get(key)
-        self._rates_by_key[key] = rate if old is None else _mix(old, rate)
+        self._rates_by_key[key] = (
+            rate if old is None else _update_average(old, rate)
+        )
 
 
 def _as_rate(report: LoadReport) -> ServiceRate:
@@ -50,15 +52,15 @@
     )
 
 
-def _mix(old: ServiceRate, new: ServiceRate) -> ServiceRate:
+def _update_average(old: ServiceRate, new: ServiceRate) -> ServiceRate:
     return ServiceRate(
-        prefill_tokens_per_s=_step(
+        prefill_tokens_per_s=_ewma(
             old.prefill_tokens_per_s, new.prefill_tokens_per_s
         ),
-        decode_interval_s=_step(old.decode_interval_s, new.decode_interval_s),
+        decode_interval_s=_ewma(old.decode_interval_s, new.decode_interval_s),
         slots=new.slots,
     )
 
 
-def _step(old: float, new: float) -> float:
-    return old + SMOOTHING * (new - old)
+def _ewma(old: float, new: float) -> float:
+    return old + EWMA_WEIGHT * (new - old)
--- a/packages/mimosamux-daemon/mimosamux_daemon/control/steps.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/control/steps.py
@@ -1,7 +1,7 @@
-"""What one data centre has to start and stop for a plan, now.
+"""Computes the VMs to start and stop next in one data centre.
 
-VMs are replaced by starting first and stopping afterwards, so that no
-target is missed on the way, and only within the ceilings.
+A replacement is started before the VM that it replaces is stopped, so that
+the targets stay met, and starts stay within the cost ceilings.
 """
 
 import math
@@ -18,33 +18,37 @@
 from mimosamux_daemon.domain.plan import ModelOffer, Need, Offer, Plan
 
 MAX_STARTS = 100
-"""Starts ordered in one step; each writes two rows."""
+"""Starts of one planning round; each writes two rows."""
 SURGE_SHARE = 0.25
-"""Share of an offer's VMs that are replaced at once for a new version."""
-SMALL = 1e-9
+"""Share of an offer's VMs that are replaced at the same time when the
+model's version changes."""
+EPSILON = 1e-9
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class World:
-    """The VMs that there are, as a planner sees them."""
+    """The VMs of all data centres, as a planner observes them."""
 
     data_centre: DataCentreName
+    """Data centre of the planner."""
     own: tuple[VMOrder, ...]
-    """Orders here whose VMs are there to stay, or may be."""
+    """Orders of the planner's data centre that are not stopping."""
     live: frozenset[str]
-    """Ids of those orders whose VMs serve."""
+    """Ids of those orders whose VMs are live and loaded."""
     running: Mapping[ModelOffer, int]
-    """Everywhere, those that are starting included."""
+    """VMs of all data centres, including those that are starting."""
     live_counts: Mapping[ModelOffer, int]
-    """Everywhere, only those that serve."""
+    """VMs of all data centres that are live and loaded."""
     per_hour: float
-    """Money an hour for every VM anywhere, also those being drained."""
+    """Cost per hour of the VMs of all data centres, including those that
+    are draining."""
     prices: Mapping[Offer, float]
+    """Price of one VM per hour."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Steps:
-    """VMs to start and to stop."""
+    """VMs to start and to stop in one planning round."""
 
     starts: tuple[WantedVM, ...] = ()
     stops: tuple[VMOrder, ...] = ()
@@ -57,35 +61,36 @@
     configuration: Configuration,
     policy: PlanningPolicy,
 ) -> Steps:
-    """Return the next steps towards the plan."""
+    """Compute the next starts and stops towards the plan."""
     return Steps(
-        starts=tuple(_find_starts(plan, world, configuration)),
-        stops=tuple(_find_stops(plan, world, configuration, policy)),
+        starts=tuple(_select_starts(plan, world, configuration)),
+        stops=tuple(_select_stops(plan, world, configuration, policy)),
     )
 
 
-def _find_starts(
+def _select_starts(
     plan: Plan, world: World, configuration: Configuration
 ) -> Iterator[WantedVM]:
-    """Return what is missing here and fits under the ceilings.
+    """Return the missing VMs here that fit within the ceilings.
 
-    Every planner goes through what is missing everywhere in the same
-    order and takes its own part of what the money is enough for. Planners
-    that start at the same moment would otherwise overspend between them.
+    Every planner spends the remaining budget on the missing VMs of all
+    data centres in the same order, and starts only those of its own.
+    Planners that start VMs at the same time would otherwise exceed the
+    budget together.
     """
-    left = find_headroom(world, configuration)
+    remaining_budget = find_headroom(world, configuration)
     started = 0
-    for wanted in _list_missing(plan, world, configuration):
-        left -= world.prices[wanted.offer]
-        if left < -SMALL or started >= MAX_STARTS:
+    for candidate in _list_missing(plan, world, configuration):
+        remaining_budget -= world.prices[candidate.offer]
+        if remaining_budget < -EPSILON or started >= MAX_STARTS:
             return
-        if wanted.offer.data_centre == world.data_centre:
+        if candidate.offer.data_centre == world.data_centre:
             started += 1
-            yield wanted
+            yield candidate
 
 
 def find_headroom(world: World, configuration: Configuration) -> float:
-    """Return the money an hour that may be added everywhere."""
+    """Return the cost per hour left below the sum of all ceilings."""
     budget = sum(
         work_class.cost_ceiling_per_hour
         for work_class in configuration.classes.values()
@@ -96,24 +101,26 @@
 def _list_missing(
     plan: Plan, world: World, configuration: Configuration
 ) -> Iterator[WantedVM]:
-    current: Counter[ModelOffer] = Counter()
-    everything: Counter[ModelOffer] = Counter(world.running)
+    up_to_date: Counter[ModelOffer] = Counter()
+    running: Counter[ModelOffer] = Counter(world.running)
     for order in world.own:
-        current[order.model, order.offer] += _is_current(order, configuration)
+        up_to_date[order.model, order.offer] += _is_up_to_date(
+            order, configuration
+        )
     for (model, offer), count in sorted(plan.counts.items(), key=_rank):
         key = (model, offer)
         is_own = offer.data_centre == world.data_centre
         surge = math.ceil(count * SURGE_SHARE) if is_own else 0
-        missing = count - (current[key] if is_own else everything[key])
-        room = count + surge - everything[key]
-        wanted = WantedVM(
+        missing = count - (up_to_date[key] if is_own else running[key])
+        surge_left = count + surge - running[key]
+        candidate = WantedVM(
             offer=offer,
             model=model,
             version=configuration.models[model].version,
             why=f'plan wants {count} of {model}',
         )
-        for _ in range(min(missing, room)):
-            yield wanted
+        for _ in range(min(missing, surge_left)):
+            yield candidate
 
 
 def _rank(item: tuple[ModelOffer, int]) -> tuple[str, str, str, str]:
@@ -121,13 +128,13 @@
     return model, offer.data_centre, offer.machine_class, offer.market
 
 
-def _is_current(order: VMOrder, configuration: Configuration) -> bool:
-    """Return whether a VM has, or will load, the version in force."""
+def _is_up_to_date(order: VMOrder, configuration: Configuration) -> bool:
+    """Return whether a VM has or will load the configured version."""
     spec = configuration.models.get(order.model)
     return spec is not None and order.version in ('', spec.version)
 
 
-def _find_stops(
+def _select_stops(
     plan: Plan,
     world: World,
     configuration: Configuration,
@@ -143,7 +150,7 @@
             yield order
             continue
         live[key] -= 1
-        if _is_enough(plan, live, order.model, policy):
+        if _meets_need(plan, live, order.model, policy):
             yield order
         else:
             live[key] += 1
@@ -152,46 +159,50 @@
 def _list_surplus(
     plan: Plan, world: World, configuration: Configuration
 ) -> Iterator[VMOrder]:
-    """Return the VMs beyond the plan, those easiest to spare first."""
-    by_key: dict[ModelOffer, list[VMOrder]] = {}
+    """Return the VMs beyond the plan, of outdated versions first.
+
+    Of the same version, those that are not live come first.
+    """
+    orders_by_key: dict[ModelOffer, list[VMOrder]] = {}
     for order in world.own:
-        by_key.setdefault((order.model, order.offer), []).append(order)
-    for (model, offer), orders in by_key.items():
-        extra = len(orders) - plan.count(model, offer)
+        orders_by_key.setdefault((order.model, order.offer), []).append(order)
+    for (model, offer), orders in orders_by_key.items():
+        surplus = len(orders) - plan.count(model, offer)
         ranked = sorted(
             orders,
             key=lambda order: (
-                _is_current(order, configuration),
+                _is_up_to_date(order, configuration),
                 order.id in world.live,
                 order.id,
             ),
         )
-        yield from ranked[: max(0, extra)]
+        yield from ranked[: max(0, surplus)]
 
 
-def _is_enough(
+def _meets_need(
     plan: Plan,
     live: Counter[ModelOffer],
     model: ModelName,
     policy: PlanningPolicy,
 ) -> bool:
-    """Return whether the VMs that serve meet the need of a model."""
+    """Return whether the live VMs meet the need of a model."""
     counts = {
         offer: count
-        for (owner, offer), count in live.items()
-        if owner == model and count > 0
+        for (owning_model, offer), count in live.items()
+        if owning_model == model and count > 0
     }
     weights = {
         machine_class: weight
-        for (owner, machine_class), weight in plan.weights.items()
-        if owner == model
+        for (owning_model, machine_class), weight in plan.weights.items()
+        if owning_model == model
     }
-    units = sum(
+    replicas = sum(
         count * weights.get(offer.machine_class, 1.0)
         for offer, count in counts.items()
     )
     need = plan.needs.get(model, Need(normal=0.0, after_loss=0.0))
     survivors = find_survivors(counts, weights, policy.placement)
     return (
-        units + SMALL >= need.normal and survivors + SMALL >= need.after_loss
+        replicas + EPSILON >= need.normal
+        and survivors + EPSILON >= need.after_loss
     )
--- a/packages/mimosamux-daemon/mimosamux_daemon/control/weight_queue.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/control/weight_queue.py
@@ -1,4 +1,4 @@
-"""One queue of a data centre for loading weights, within the store's rate."""
+"""Serialises the loading of model weights in one data centre."""
 
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
@@ -10,14 +10,15 @@
 from mimosamux_daemon.domain.store import Unavailable
 from mimosamux_daemon.ports.models.weight_store import WeightStore
 
-RETRY_S = 5.0
+RETRY_INTERVAL_S = 5.0
 
 
 class WeightQueue:
-    """Hands out turns to load, one after the other.
+    """Lets one replica at a time load weights from the weight store.
 
-    Loads that begin together share the store's rate, and all of them end
-    late; in a row the first replica serves while the others load.
+    Concurrent loads share the store's bandwidth and all finish late. When
+    they run one after another, the first replica serves while the others
+    still wait.
     """
 
     def __init__(
@@ -26,34 +27,34 @@
         self._weights = weights
         self._data_centre = data_centre
         self._lock = anyio.Lock()
-        self._free_at = 0.0
+        self._available_at = 0.0
 
-    def reserve(self, seconds: float) -> None:
-        """Leave the store to loads that an earlier holder began."""
+    def delay_loads(self, seconds: float) -> None:
+        """Delay loads by the time that an earlier lease holder's need."""
         now = anyio.current_time()
-        self._free_at = max(self._free_at, now) + seconds
+        self._available_at = max(self._available_at, now) + seconds
 
     async def load_time_s(self, spec: ModelSpec) -> float:
-        """Return how long a load takes at the full rate."""
-        size = await self._find_size(spec)
+        """Return the seconds that a load takes at full bandwidth."""
+        size = await self._fetch_size(spec)
         limits = await self._weights.limits(self._data_centre)
         while isinstance(limits, Unavailable):
-            await anyio.sleep(RETRY_S)
+            await anyio.sleep(RETRY_INTERVAL_S)
             limits = await self._weights.limits(self._data_centre)
         return size / limits.bytes_per_s
 
     @asynccontextmanager
-    async def turn(self, spec: ModelSpec) -> AsyncIterator[float]:
-        """Wait for a turn; gives the seconds that the load may take."""
+    async def reserve_load(self, spec: ModelSpec) -> AsyncIterator[float]:
+        """Hold the queue for one load; yield its expected seconds."""
         async with self._lock:
             seconds = await self.load_time_s(spec)
-            await anyio.sleep_until(self._free_at)
-            self._free_at = anyio.current_time() + seconds
+            await anyio.sleep_until(self._available_at)
+            self._available_at = anyio.current_time() + seconds
             yield seconds
 
-    async def _find_size(self, spec: ModelSpec) -> int:
+    async def _fetch_size(self, spec: ModelSpec) -> int:
         size = await self._weights.size_bytes(spec.name, spec.version)
         while isinstance(size, Unavailable):
-            await anyio.sleep(RETRY_S)
+            await anyio.sleep(RETRY_INTERVAL_S)
             size = await self._weights.size_bytes(spec.name, spec.version)
         return spec.size_bytes if size is None else size
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -110,7 +110,7 @@
                     placed.counts, {}, PlacementPolicy()
                 )
                 self.assertTrue(placed.meets_need)
-                self.assertGreaterEqual(placed.units, normal)
+                self.assertGreaterEqual(placed.replicas, normal)
                 self.assertGreaterEqual(survivors, need.after_loss - 1e-6)
 
     def test_on_demand_only_as_much_as_the_loss_needs(self):
