--- a/benchmarks/decisions/day.py
+++ b/benchmarks/decisions/day.py
@@ -275,8 +275,8 @@
         return replace(
             self.tuning.planning,
             capacity=CapacityPolicy(
-                late_share=self.way.late_share,
-                late_share_after_loss=self.way.late_share,
+                max_late_share=self.way.late_share,
+                max_late_share_after_loss=self.way.late_share,
             ),
         )
 
