--- a/benchmarks/bench_overload.py
+++ b/benchmarks/bench_overload.py
@@ -28,7 +28,7 @@
 DECODE_INTERVAL_S = 0.03
 SLOTS = 16
 NO_ADMISSION = AdmissionPolicy(
-    full_share=1e9, over_share=1e9, unsure_share=1e9
+    admit_fraction=1e9, over_fair_fraction=1e9, unowned_fraction=1e9
 )
 _ids = itertools.count()
 
@@ -200,7 +200,9 @@
     'chooser': least_reported,
     'admission': NO_ADMISSION,
 }
-NO_ROOM: dict[str, Any] = {'admission': AdmissionPolicy(over_share=1.0)}
+NO_ROOM: dict[str, Any] = {
+    'admission': AdmissionPolicy(over_fair_fraction=1.0)
+}
 CASES: tuple[tuple[str, Workload, Demand, dict[str, Any]], ...] = (
     ('prompts bind, at capacity', PROMPTS, AT_CAPACITY, {}),
     ('prompts bind, twice, large floods', PROMPTS, TWICE, {}),
--- a/benchmarks/bench_routing.py
+++ b/benchmarks/bench_routing.py
@@ -48,7 +48,7 @@
 BLOCKS = 32
 ACCOUNTS = 8
 NO_ADMISSION = AdmissionPolicy(
-    full_share=1e9, over_share=1e9, unsure_share=1e9
+    admit_fraction=1e9, over_fair_fraction=1e9, unowned_fraction=1e9
 )
 PATIENT = WorkClass(name=ClassName('draft'), first_token_s=5.0)
 _ids = itertools.count()
--- a/benchmarks/fleet_model.py
+++ b/benchmarks/fleet_model.py
@@ -268,7 +268,7 @@
             account,
             request,
             first_token_s=choice.first_token_s,
-            is_sure=choice.is_sure,
+            is_own=choice.is_own,
             tokens=choice.work.tokens + request.max_tokens,
         )
         if refused is not None:
--- a/packages/mimosamux-daemon/mimosamux_daemon/serving/__init__.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/serving/__init__.py
@@ -1,1 +1,1 @@
-"""From an offered request to its one full answer."""
+"""Admission, routing and execution of accepted requests."""
--- a/packages/mimosamux-daemon/mimosamux_daemon/serving/model_serving.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/serving/model_serving.py
@@ -244,7 +244,7 @@
             account,
             request,
             first_token_s=choice.first_token_s - choice.unavoidable_s,
-            is_sure=choice.is_sure,
+            is_own=choice.is_own,
             tokens=choice.work.tokens + request.max_tokens,
         )
         return choice if refused is None else refused
--- a/packages/mimosamux-daemon/mimosamux_daemon/serving/routing.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/serving/routing.py
@@ -72,7 +72,7 @@
     unavoidable_s: float = 0.0
     """Part of it that even an idle endpoint takes beyond the target."""
     cached_tokens: int = 0
-    is_sure: bool = True
+    is_own: bool = True
     """Whether the estimate is of an endpoint that this daemon watches."""
     work: PromptWork = field(default_factory=PromptWork)
     """To be passed to `Fleet.note_sent`."""
@@ -149,7 +149,7 @@
             first_token_s=best.first_token_s,
             unavoidable_s=unavoidable_s,
             cached_tokens=int(best.cached_tokens),
-            is_sure=best.state.is_own,
+            is_own=best.state.is_own,
             work=self._estimator.work_of(best, request, prompt),
         )
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -11,7 +11,7 @@
 from mimosamux_daemon.serving.admission import Admission, AdmissionPolicy
 from mimosamux_daemon.serving.fair_shares import (
     FairShares,
-    NewUse,
+    UsageDelta,
     key_of_account,
 )
 
@@ -22,7 +22,9 @@
 SMALL = Account(id=AccountId('small'), key_digests=(), max_open=3)
 POLICY = AdmissionPolicy()
 KEPT_ROOM_S = (
-    LOOKUP.first_token_s * (POLICY.over_share + POLICY.full_share) / 2
+    LOOKUP.first_token_s
+    * (POLICY.over_fair_fraction + POLICY.admit_fraction)
+    / 2
 )
 """An estimate that only accounts within their fair part may have."""
 
@@ -106,7 +108,7 @@
 
     def test_flood_check_fails_without_room_kept(self):
         async def check():
-            policy = AdmissionPolicy(over_share=1.0)
+            policy = AdmissionPolicy(over_fair_fraction=1.0)
             large, _ = await flood(make_admission(policy=policy))
             self.assertGreater(large, 5)
 
@@ -130,13 +132,13 @@
         shares = FairShares(window_s=5.0)
         self.use_here(shares)
         for _ in range(10):
-            elsewhere = NewUse(
+            elsewhere = UsageDelta(
                 key=key_of_account(LARGE.id),
                 share=1.0,
                 offered=30,
                 admitted=20,
             )
-            shares.note_peer(elsewhere)
+            shares.add_peer_delta(elsewhere)
         shares.note_offered(SMALL.id, share=1.0, tokens=1, now=0.5)
         self.assertFalse(shares.is_over(SMALL.id))
         self.assertTrue(shares.is_over(LARGE.id))
@@ -150,10 +152,10 @@
     def test_new_use_is_told_once_and_the_largest_first(self):
         shares = FairShares(window_s=5.0)
         self.use_here(shares)
-        (first,) = shares.take_new(1)
+        (first,) = shares.take_deltas(1)
         self.assertEqual(first.key, key_of_account(SMALL.id))
         self.assertEqual((first.offered, first.admitted), (40, 25))
-        self.assertEqual(shares.take_new(1), [])
+        self.assertEqual(shares.take_deltas(1), [])
 
 
 async def flood(admission: Admission) -> tuple[int, int]:
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -10,7 +10,7 @@
 from mimosamux_daemon.domain.store import Unavailable
 from mimosamux_daemon.domain.work import ModelRequest, WorkClass
 from mimosamux_daemon.serving.commit_budget import (
-    BURST,
+    BURST_COMMITS,
     FLEET_COMMITS_PER_S,
 )
 from mimosamux_daemon.serving.journal import Journal
@@ -241,7 +241,7 @@
                 daemons.tasks.start_soon(daemons.record, 'd1', f'r{number}')
                 number += 1
                 await anyio.sleep(0.05)
-            most = BURST + 60 * FLEET_COMMITS_PER_S / 340 + 1
+            most = BURST_COMMITS + 60 * FLEET_COMMITS_PER_S / 340 + 1
             self.assertLessEqual(daemons.table.commits, most)
 
         self.play(check, count=340)
