--- a/packages/mimosamux-daemon/mimosamux_daemon/control/endpoint_assignment.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/control/endpoint_assignment.py
@@ -18,32 +18,26 @@
     which others have capacity. If there are fewer endpoints than daemons,
     several daemons watch the same endpoint.
     """
-    daemon_ids = sorted(daemons)
-    endpoint_ids = sorted(endpoints)
-    if not daemon_ids or not endpoint_ids:
+    names = sorted(daemons)
+    ids = sorted(endpoints)
+    if not names or not ids:
         return {}
-    daemons_per_endpoint = -(-len(daemon_ids) // len(endpoint_ids))
-    quota, _ = divmod(
-        len(endpoint_ids) * daemons_per_endpoint, len(daemon_ids)
-    )
-    capacity = dict.fromkeys(daemon_ids, max(quota, 1))
-    owners: dict[EndpointId, tuple[DaemonId, ...]] = dict.fromkeys(
-        endpoint_ids, ()
-    )
-    for id_ in endpoint_ids * daemons_per_endpoint:
-        candidates = [
-            daemon_id for daemon_id in capacity if daemon_id not in owners[id_]
-        ]
-        if not candidates:
+    copies = -(-len(names) // len(ids))
+    quota, _ = divmod(len(ids) * copies, len(names))
+    capacity = dict.fromkeys(names, max(quota, 1))
+    owners: dict[EndpointId, tuple[DaemonId, ...]] = dict.fromkeys(ids, ())
+    for id_ in ids * copies:
+        free = [name for name in capacity if name not in owners[id_]]
+        if not free:
             continue
-        owner = max(candidates, key=lambda daemon: _hash(daemon, id_))
+        owner = max(free, key=lambda daemon: _weight(daemon, id_))
         owners[id_] = (*owners[id_], owner)
         capacity[owner] -= 1
         if not capacity[owner]:
             del capacity[owner]
-        capacity = capacity or dict.fromkeys(daemon_ids, 1)
+        capacity = capacity or dict.fromkeys(names, 1)
     return owners
 
 
-def _hash(daemon: DaemonId, endpoint: EndpointId) -> int:
+def _weight(daemon: DaemonId, endpoint: EndpointId) -> int:
     return xxhash.xxh64_intdigest(f'{daemon}/{endpoint}'.encode())
