--- a/packages/mimosamux-daemon/mimosamux_daemon/domain/__init__.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/domain/__init__.py
@@ -1,1 +1,1 @@
-"""Data classes of the daemon and the decisions on them; no I/O."""
+"""Immutable data types that the layers of the daemon share; no I/O."""
--- a/packages/mimosamux-daemon/mimosamux_daemon/domain/audit.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/domain/audit.py
@@ -1,4 +1,4 @@
-"""Entries of the audit trail and the rows that keep them."""
+"""Audit trail entries and their encoding as table rows."""
 
 from dataclasses import asdict, dataclass
 from enum import StrEnum
@@ -11,7 +11,7 @@
 
 
 class AuditKind(StrEnum):
-    """What sort of change an entry records."""
+    """Kind of change that an entry records."""
 
     CONFIGURATION = 'configuration'
     LEASE = 'lease'
@@ -21,13 +21,13 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class AuditEntry:
-    """Who changed what and why, with the state before and after."""
+    """One change: who made it, why, and the state before and after."""
 
     id: str
-    """Operation id: a repeated write of the same change is one entry."""
+    """Operation id; a repeated write of the same change adds no entry."""
     kind: AuditKind
     at: float
-    """Wall time in seconds since 1970, only for people to read."""
+    """Wall-clock time in seconds since 1970, for display only."""
     who: str
     what: str
     why: str = ''
@@ -37,15 +37,15 @@
 
     @property
     def key(self) -> str:
-        """Row key; keys of one kind sort by time."""
+        """Row key; the keys of one kind sort by time."""
         return f'{AUDIT_PREFIX}{self.kind}/{self.at:017.6f}/{self.id}'
 
     def as_write(self) -> Write:
-        """Return the write that belongs into the change's transaction."""
+        """Return the write to include in the transaction of the change."""
         return Write(key=self.key, value=orjson.dumps(asdict(self)))
 
 
 def parse_entry(value: bytes) -> AuditEntry:
-    """Return the entry that a row of the trail holds."""
+    """Decode an entry from the value of its row."""
     fields = orjson.loads(value)
     return AuditEntry(**{**fields, 'kind': AuditKind(fields['kind'])})
--- a/packages/mimosamux-daemon/mimosamux_daemon/domain/configuration.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/domain/configuration.py
@@ -1,4 +1,4 @@
-"""The configuration in force: one immutable value with a version."""
+"""Immutable, versioned configuration of the daemon for model classes."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -22,21 +22,21 @@
     machine_classes: tuple[str, ...] = ('standard',)
     size_bytes: int = 0
     checks_fencing: bool = False
-    """True: its engines refuse orders with an old fencing number."""
+    """Whether its engines refuse orders with an outdated fencing token."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ServiceSpec:
-    """A plain service, and which of its paths must not be repeated."""
+    """A plain service: an HTTP service that is not a model engine."""
 
     name: ServiceName
     work_class: ClassName
-    """Class of calls that name none."""
+    """Class of calls that do not name a class."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Configuration:
-    """Everything that operators have accepted, as of one version."""
+    """One version of the configuration that operators have accepted."""
 
     version: int = 0
     """0: no configuration has been accepted yet."""
@@ -46,6 +46,6 @@
     services: Mapping[ServiceName, ServiceSpec] = field(default_factory=dict)
     data_centres: tuple[DataCentreName, ...] = ()
     cost_weight: float = 1.0
-    """How much money counts beside recomputed tokens in choices."""
+    """Weight of VM cost in the cost function of endpoint selection."""
     recompute_weight: float = 1.0
-    """How much recomputed tokens count beside money in choices."""
+    """Weight of recomputed tokens in the same cost function."""
--- a/packages/mimosamux-daemon/mimosamux_daemon/domain/engine.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/domain/engine.py
@@ -1,4 +1,4 @@
-"""What is sent to a model engine and what comes back from it."""
+"""Calls, orders and events exchanged with model engines."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -17,15 +17,15 @@
     max_tokens: int
     priority: int = 0
     answer_so_far: tuple[str, ...] = ()
-    """Tokens already produced; the engine goes on behind them."""
+    """Tokens already generated; the engine continues after them."""
     kv_handle: str | None = None
-    """Imported KV cache to go on from; None: compute the prompt."""
+    """Imported KV cache to continue from; None: prefill the prompt."""
     parameters: Mapping[str, object] = field(default_factory=dict)
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class TokenFrame:
-    """Some tokens of an answer, from `offset` on, counted in tokens."""
+    """Consecutive tokens of an answer; `offset` is the first one's index."""
 
     request: RequestId
     attempt: int
@@ -35,21 +35,24 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class StreamEnd:
-    """End marker: the answer has `total` tokens, those before included."""
+    """End marker of a stream.
+
+    `total` counts all tokens of the answer, including `answer_so_far`.
+    """
 
     request: RequestId
     attempt: int
     total: int
     finish_reason: str = 'stop'
     cached_tokens: int = 0
-    """Prompt tokens that the engine took from its prefix cache."""
+    """Prompt tokens found in the prefix cache of the engine."""
     computed_tokens: int = 0
-    """Prompt and answer tokens that it computed to prefill."""
+    """Prompt and earlier answer tokens computed during prefill."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class StreamBroken:
-    """The stream stopped without its end marker."""
+    """The stream ended without its end marker."""
 
     reason: str
 
@@ -59,14 +62,14 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ConnectFailed:
-    """No connection came about: no byte of the call was sent."""
+    """The connection failed before any byte of the call was sent."""
 
     reason: str
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class EngineRefused:
-    """The engine answered that it does not take the call."""
+    """The engine rejected the call."""
 
     reason: str
     retry_after_s: float | None = None
@@ -74,7 +77,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class KvExport:
-    """KV cache of a request, ready to be fetched by another engine."""
+    """Exported KV cache of a request, for another engine to fetch."""
 
     handle: str
     source: EndpointId
@@ -91,7 +94,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class KvImported:
-    """The KV cache is in place under `handle` at the importing engine."""
+    """The importing engine holds the KV cache under `handle`."""
 
     handle: str
     tokens: int
@@ -99,7 +102,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class LoadReport:
-    """Load of an engine some time ago; `age_s` is the known lag."""
+    """Load of an engine, measured `age_s` seconds before it arrived."""
 
     endpoint: EndpointId
     sequence: int
@@ -108,10 +111,10 @@
     running: int
     waiting: int
     slots: int
-    """Requests that the engine runs side by side."""
+    """Maximum number of requests that the engine runs concurrently."""
     prefill_tokens_per_s: float
     decode_interval_s: float
-    """Time between two tokens of one stream at present."""
+    """Current time between two tokens of one stream."""
     cache_blocks: int = 0
     cache_capacity_blocks: int = 0
 
@@ -120,8 +123,8 @@
 class CacheEvent:
     """Prefix-cache blocks that an engine stored and evicted.
 
-    Sequence numbers go up by one; a gap means that events were lost. A
-    snapshot names every block and settles all doubt.
+    Sequence numbers increase by one; a gap means that events were lost. A
+    snapshot lists every cached block, which repairs such a loss.
     """
 
     endpoint: EndpointId
@@ -136,7 +139,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class EngineOrder:
-    """An order to load, unload or change role, under a fencing number."""
+    """Order to load, unload or change role, with a fencing token."""
 
     id: str
     endpoint: EndpointId
@@ -149,14 +152,14 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class OrderDone:
-    """The engine has carried the order out."""
+    """The engine has executed the order."""
 
     id: str
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class OrderRefused:
-    """The engine refused, for example because of an old number."""
+    """The engine refused, for example an outdated fencing token."""
 
     id: str
     reason: str
@@ -164,6 +167,6 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class OrderUnanswered:
-    """No answer came; the order may have been carried out."""
+    """No answer arrived; the order may have been executed."""
 
     id: str
--- a/packages/mimosamux-daemon/mimosamux_daemon/domain/gateway.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/domain/gateway.py
@@ -1,4 +1,4 @@
-"""Requests that are passed on as they are, and the endpoints for them."""
+"""Requests that the gateway forwards unchanged, and their endpoints."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class PromptPart:
-    """A part of a prompt; requests that share it state the same id."""
+    """A segment of a prompt; requests that share it send the same id."""
 
     id: str
     tokens: int
@@ -23,53 +23,56 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class PromptUse:
-    """What a request says of its prompt and of its answer's length."""
+    """Token counts and prompt segments that a request declares."""
 
     model: str = ''
     tokens_in: int = 0
     most_tokens_out: int = 0
-    """Most tokens that the answer may have."""
+    """Maximum length of the answer."""
     likely_tokens_out: int | None = None
-    """The caller's estimate, right at the median but often far off."""
+    """Caller's estimate of the answer length.
+
+    Its median is right, but single estimates are often far off.
+    """
     parts: tuple[PromptPart, ...] = ()
-    """In order; the last belongs to the request or its session alone."""
+    """Segments in order; the last is unique to the request or session."""
 
     @property
     def tokens(self) -> int:
-        """Return what the request counts against a usage cap."""
+        """Return the tokens that the request counts against a usage cap."""
         return self.tokens_in + self.most_tokens_out
 
     @property
     def own_tokens(self) -> int:
-        """Return the tokens that no other request shares."""
+        """Return the prompt tokens that no other request shares."""
         return self.parts[-1].tokens if self.parts else self.tokens_in
 
     @property
     def shared_key(self) -> str:
-        """Return the id of the longest prefix that others may share."""
+        """Return the id of the longest shareable prefix, empty without one."""
         return self.parts[-2].id if len(self.parts) > 1 else ''
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class GatewayRequest:
-    """One attempt of a caller; times are of the steady clock, seconds."""
+    """A request as received; times are monotonic, in seconds."""
 
     id: str
     head: RequestHead
-    """With the headers that are passed on, and no others."""
+    """Request line and the headers to forward, without all others."""
     body: bytes
     host: str
     received_at: float
     key: str | None = None
     patience_s: float | None = None
-    """How long the caller will wait; None: it did not say."""
+    """Time for which the caller waits; None: not stated."""
     prompt: PromptUse | None = None
     last_event_id: str | None = None
-    """Event behind which the caller wants a stream to go on."""
+    """Id of the event after which the caller resumes a stream."""
 
 
 class EndpointState(StrEnum):
-    """State of an endpoint as the platform's list shows it."""
+    """State of an endpoint in the platform's endpoint list."""
 
     READY = 'ready'
     LEAVING = 'leaving'
@@ -77,7 +80,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ListedEndpoint:
-    """An endpoint in the platform's list."""
+    """Entry of the platform's endpoint list."""
 
     id: EndpointId
     service: ServiceName
@@ -87,30 +90,33 @@
     state: EndpointState = EndpointState.READY
     market: Market = Market.ON_DEMAND
     leaves_in_s: float | None = None
-    """Time until it is taken away, where that is known."""
+    """Time until the endpoint is removed; None: not known."""
     slow_for_s: float = 0.0
-    """Time after its start for which it is still slow."""
+    """Rest of the warm-up time, during which the endpoint is slow."""
     software: str = ''
     incarnation: int = 0
-    """Grows with each start of a process under the same id: its start in
-    milliseconds since 1970. 0 where the platform does not tell it."""
+    """Identifies one run of the endpoint's process under this id.
+
+    The start time in milliseconds since 1970, so that it grows with each
+    restart; 0: the platform does not state it.
+    """
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Delivered:
-    """The endpoint's whole answer went to the caller."""
+    """The caller was sent the complete answer of the endpoint."""
 
     status: int
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class CallerGone:
-    """The caller left before its answer was whole."""
+    """The caller disconnected before its answer was complete."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class BrokenOff:
-    """The answer ended early, and does not look complete."""
+    """The caller got a truncated answer, recognisable as incomplete."""
 
     reason: str
 
--- a/packages/mimosamux-daemon/mimosamux_daemon/domain/http_headers.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/domain/http_headers.py
@@ -1,4 +1,4 @@
-"""Headers that belong to one connection and are not passed on."""
+"""Filter for hop-by-hop headers, on decoded header names and values."""
 
 HOP_BY_HOP = frozenset(
     {
@@ -19,10 +19,10 @@
 def end_to_end_headers(
     headers: Headers, *, without: frozenset[str] = frozenset()
 ) -> Headers:
-    """Return the headers that go on to the other side.
+    """Return the headers to forward.
 
-    `without` names more that stay behind, in lower case; so do those
-    that a `Connection` header names.
+    Leaves out hop-by-hop headers, those that a `Connection` header names,
+    and those in `without`, given in lower case.
     """
     named = {
         part.strip().lower()
--- a/packages/mimosamux-daemon/mimosamux_daemon/domain/http_messages.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/domain/http_messages.py
@@ -1,9 +1,9 @@
-"""HTTP/1.1 requests and answers as bytes, passed on without decoding."""
+"""HTTP/1.1 heads as raw bytes, which are forwarded without decoding."""
 
 from dataclasses import dataclass
 
 RawHeaders = tuple[tuple[bytes, bytes], ...]
-"""Names as they were sent, and values."""
+"""Pairs of name and value; names keep the case in which they arrived."""
 
 HOP_BY_HOP = frozenset(
     {
@@ -18,16 +18,16 @@
         b'upgrade',
     }
 )
-"""Headers that concern one connection only; all in lower case."""
+"""Headers that apply to a single connection, in lower case."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class RequestHead:
-    """Start of a request: everything before its body."""
+    """Request line and headers of a request."""
 
     method: bytes
     target: bytes
-    """Path and query as they stood in the request line."""
+    """Path and query exactly as in the request line."""
     headers: RawHeaders
 
     @property
@@ -38,19 +38,19 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class AnswerHead:
-    """Start of an answer: status and headers."""
+    """Status and headers of an answer."""
 
     status: int
     headers: RawHeaders
 
 
 def find_values(headers: RawHeaders, name: bytes) -> list[bytes]:
-    """Return the values of every header with a name in lower case."""
+    """Return the values of all headers called `name`, in lower case."""
     return [value for key, value in headers if key.lower() == name]
 
 
 def find_value(headers: RawHeaders, name: bytes) -> bytes | None:
-    """Return the first value of a header, None without one."""
+    """Return the first value of a header, or None; `name` in lower case."""
     for key, value in headers:
         if key.lower() == name:
             return value
@@ -60,11 +60,11 @@
 def end_to_end(
     headers: RawHeaders, *, without: frozenset[bytes] = frozenset()
 ) -> RawHeaders:
-    """Return the headers that go on to the other side, in order.
+    """Return the headers to forward, in order.
 
-    `without` names more that stay behind, in lower case. So do those that
-    a `Connection` header names: passed on, one of them would take effect
-    on a connection for which it was never meant.
+    Leaves out hop-by-hop headers and those in `without`, given in lower
+    case. Also leaves out headers that a `Connection` header names: if
+    forwarded, they would apply to a connection they are not meant for.
     """
     dropped = HOP_BY_HOP | without
     named = find_values(headers, b'connection')
--- a/packages/mimosamux-daemon/mimosamux_daemon/domain/names.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/domain/names.py
@@ -1,10 +1,11 @@
-"""Types of the identifiers that every part of the daemon shares."""
+"""Distinct types for the identifiers used throughout the daemon."""
 
 from typing import NewType
 
 AccountId = NewType('AccountId', str)
 ClassName = NewType('ClassName', str)
 ContentKey = NewType('ContentKey', str)
+"""Digest of a request's content."""
 DaemonId = NewType('DaemonId', str)
 DataCentreName = NewType('DataCentreName', str)
 EndpointId = NewType('EndpointId', str)
--- a/packages/mimosamux-daemon/mimosamux_daemon/domain/outcomes.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/domain/outcomes.py
@@ -1,4 +1,4 @@
-"""How a request can end; each ending is a value, never an exception."""
+"""Outcomes of a request, which are values rather than exceptions."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -7,7 +7,7 @@
 
 
 class Reason(StrEnum):
-    """Why a request was refused or failed, as shown to the caller."""
+    """Reason of a refusal or failure, sent to the caller."""
 
     ACCOUNT_BUSY = 'account_busy'
     BAD_REQUEST = 'bad_request'
@@ -39,10 +39,10 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Answered:
-    """The endpoint answered in full.
+    """The endpoint returned a complete answer.
 
-    `text` holds a model's answer; `status`, `headers` and `body` hold a
-    service's.
+    A model answers with `text`, a service with `status`, `headers` and
+    `body`.
     """
 
     request: RequestId
@@ -61,12 +61,12 @@
     reason: Reason
     message: str
     retry_after_s: float | None = None
-    """When to come again; None if coming again cannot help."""
+    """Delay before a retry; None if a retry cannot succeed."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Failed:
-    """The request ran, at least in part, and has no full answer."""
+    """The request ran at least in part and has no complete answer."""
 
     request: RequestId
     reason: Reason
@@ -75,7 +75,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Unknown:
-    """Nobody can tell whether the call ran; this answer is final."""
+    """Whether the call ran cannot be determined; this is final."""
 
     request: RequestId
     message: str
@@ -83,7 +83,10 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class InDoubt:
-    """The state is not settled yet; the same key may ask again."""
+    """The outcome is undetermined for now.
+
+    The caller may ask again with the same idempotency key.
+    """
 
     request: RequestId
     message: str
--- a/packages/mimosamux-daemon/mimosamux_daemon/domain/plan.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/domain/plan.py
@@ -1,4 +1,4 @@
-"""What the planner knows and what it decides, as values."""
+"""Inputs and results of capacity planning."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Offer:
-    """A kind of VM that the cloud may have to give."""
+    """A kind of VM that the cloud offers, if it has any left."""
 
     data_centre: DataCentreName
     machine_class: str
@@ -22,18 +22,18 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ClassDemand:
-    """Requests of one class for one model, forecast or measured."""
+    """Request rate of one class for one model, forecast or measured."""
 
     model: ModelName
     work_class: ClassName
     requests_per_s: float
     prompt_tokens: float
-    """Mean tokens of a prompt that have to be computed."""
+    """Mean number of prompt tokens to compute, without cached ones."""
     answer_tokens: float
-    """Mean tokens of an answer."""
+    """Mean number of tokens of an answer."""
 
     def scaled(self, factor: float) -> 'ClassDemand':
-        """Return the demand with the rate multiplied."""
+        """Return this demand with its request rate multiplied."""
         return ClassDemand(
             model=self.model,
             work_class=self.work_class,
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ServiceRate:
-    """How fast one replica works, as learned from its reports."""
+    """Throughput of one replica, estimated from its load reports."""
 
     prefill_tokens_per_s: float
     decode_interval_s: float
@@ -53,7 +53,7 @@
 
     @property
     def answer_tokens_per_s(self) -> float:
-        """Return the tokens a second with every slot in use."""
+        """Return the decode rate with all slots in use."""
         return self.slots / self.decode_interval_s
 
 
@@ -67,42 +67,42 @@
     model: ModelName
     offer: Offer
     running: int
-    """There to stay, those that are starting included."""
+    """VMs not being drained, including those that are starting."""
     live: int
-    """Those of them that serve."""
+    """The running VMs that serve requests."""
     paid: int
-    """All that are paid for, those being drained included."""
+    """All VMs that cost money, including those being drained."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Need:
-    """Replicas of a model that its targets ask for."""
+    """Number of replicas of a model that its latency targets need."""
 
     normal: float
-    """With every VM there."""
+    """Replicas needed while no VM is lost."""
     after_loss: float
-    """Of those that a loss leaves."""
+    """Replicas needed of those that survive a loss of VMs."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class CeilingShortfall:
-    """A class whose target costs more than its ceiling; money an hour."""
+    """A class whose latency target costs more an hour than its ceiling."""
 
     work_class: ClassName
     needed_per_hour: float
     ceiling_per_hour: float
     admitted_share: float
-    """Share of its requests that the ceiling pays for."""
+    """Fraction of its requests that the ceiling covers."""
 
     @property
     def missing_per_hour(self) -> float:
-        """Return the money an hour that the ceiling lacks."""
+        """Return the cost an hour above the ceiling."""
         return self.needed_per_hour - self.ceiling_per_hour
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class CapacityShortfall:
-    """A model for which the cloud has too few VMs to give now."""
+    """A model for which the cloud has too few VMs available."""
 
     model: ModelName
     needed: float
@@ -111,7 +111,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Plan:
-    """How many VMs of which offer for which model."""
+    """Target number of VMs for each model and offer."""
 
     counts: Mapping[ModelOffer, int] = field(default_factory=dict)
     needs: Mapping[ModelName, Need] = field(default_factory=dict)
@@ -121,10 +121,10 @@
     weights: Mapping[tuple[ModelName, str], float] = field(
         default_factory=dict
     )
-    """Capacity of a machine class in reference replicas."""
+    """Capacity of a VM by model and machine class, in reference replicas."""
 
     def count(self, model: ModelName, offer: Offer) -> int:
-        """Return the VMs wanted of an offer for a model."""
+        """Return the target number of VMs of an offer for a model."""
         return self.counts.get((model, offer), 0)
 
 
--- a/packages/mimosamux-daemon/mimosamux_daemon/domain/rollouts.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/domain/rollouts.py
@@ -1,4 +1,4 @@
-"""Bringing a new version of a service in, step by step."""
+"""Staged roll-out of a new software version of a service."""
 
 from collections.abc import Collection
 from dataclasses import dataclass, replace
@@ -8,20 +8,20 @@
 
 
 class RolloutStage(StrEnum):
-    """How far a roll-out is."""
+    """Stage of a roll-out, in order."""
 
     TRIAL = 'trial'
-    """The new version gets a share of the requests, and is judged."""
+    """The new version gets a share of the requests and is evaluated."""
     TAKEOVER = 'takeover'
-    """It was found good and gets every new request."""
+    """The new version was approved and gets all new requests."""
     CLEARING = 'clearing'
-    """What still runs at the other versions is moved away from there."""
+    """Requests still running at other versions are moved away."""
     COMPLETED = 'completed'
     REVERTED = 'reverted'
 
     @property
     def is_over(self) -> bool:
-        """Whether nothing changes any more."""
+        """Whether the stage is final."""
         return self in (RolloutStage.COMPLETED, RolloutStage.REVERTED)
 
 
@@ -33,39 +33,39 @@
     version: str
     within_s: float
     number: int
-    """Names the order; a later one for the service has a higher one."""
+    """Identifies the order; increases with each order for a service."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Rollout:
-    """An order, and how far it is carried out."""
+    """An order and the progress of its execution."""
 
     order: RolloutOrder
     stage: RolloutStage
     step: int
-    """Grows with each change of the stage."""
+    """Increases with each change of the stage."""
     began_at: float
-    """When the order was first seen, on the store's clock in seconds."""
+    """Time at which the order was first seen, in seconds of store time."""
     held_back: tuple[str, ...] = ()
-    """Versions of earlier orders that were not found good."""
+    """Versions of earlier orders that were not approved."""
     reason: str = ''
 
     @property
     def age(self) -> tuple[int, int]:
-        """Return what is higher for a later order or a later step."""
+        """Return the sort key: greater for a later order or a later step."""
         return self.order.number, self.step
 
     @property
     def ends_at(self) -> float:
-        """Return when it has to be over, on the store's clock."""
+        """Return the deadline of the roll-out, in seconds of store time."""
         return self.began_at + self.order.within_s
 
     def advance(self, stage: RolloutStage, reason: str) -> 'Rollout':
-        """Return the roll-out one step on."""
+        """Return the roll-out in its next stage."""
         return replace(self, stage=stage, step=self.step + 1, reason=reason)
 
     def unproven(self) -> Collection[str]:
-        """Return the versions that were not, or not yet, found good."""
+        """Return the versions that are rejected or still under trial."""
         if self.stage in (RolloutStage.TRIAL, RolloutStage.REVERTED):
             return {*self.held_back, self.order.version}
         return set(self.held_back) - {self.order.version}
--- a/packages/mimosamux-daemon/mimosamux_daemon/domain/routes.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/domain/routes.py
@@ -1,4 +1,4 @@
-"""Routes, services and client accounts as operators configure them."""
+"""Gateway configuration: routes, services and client accounts."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -14,17 +14,17 @@
 
 
 class RouteKind(StrEnum):
-    """What may be done with a request of a route."""
+    """Whether requests of a route may be repeated, and how they answer."""
 
     IDEMPOTENT = 'idempotent'
     NON_IDEMPOTENT = 'non_idempotent'
     STREAM = 'stream'
-    """Answered by a series of events; not idempotent by itself."""
+    """Answered by an event stream; not idempotent."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Split:
-    """A service that gets a share of a route's requests."""
+    """Weight of one service in the traffic split of a route."""
 
     service: ServiceName
     weight: float
@@ -32,33 +32,33 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Route:
-    """Where requests of a host and path prefix go; times are seconds."""
+    """Rules for requests to one host and path prefix; times in seconds."""
 
     name: str
     host: str
     prefix: bytes
-    """Begins and ends with a slash."""
+    """Path prefix; begins and ends with a slash."""
     kind: RouteKind
     splits: tuple[Split, ...]
     timeout_s: float
-    """Longest time that a caller is kept waiting."""
+    """Maximum time until the answer."""
     target_s: float
-    """Latency target: whole answer, or first event of a stream."""
+    """Latency target of the complete answer or a stream's first event."""
     gap_target_s: float | None = None
-    """Longest pause between two events of a stream that is on time."""
+    """Latency target of the gap between two events of a stream."""
     priority: int = 0
     """Rank; 0 is the most urgent."""
     max_endpoints: int = 1
-    """Endpoints that one attempt of a caller may be sent to."""
+    """Maximum number of endpoints tried for one request."""
     is_anonymous: bool = False
     is_resumable: bool = False
-    """Whether a stream may go on at another endpoint."""
+    """Whether a stream may continue at another endpoint."""
     has_prompt: bool = False
-    """Whether requests state the parts of their prompt."""
+    """Whether requests declare the segments of their prompt."""
 
     @property
     def may_repeat(self) -> bool:
-        """Whether a request may run more than once."""
+        """Whether a request may be run more than once."""
         if self.kind is RouteKind.STREAM:
             return self.is_resumable
         return self.kind is RouteKind.IDEMPOTENT
@@ -66,65 +66,68 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class EngineTraits:
-    """What the model engines of a service can do."""
+    """Capabilities of the model engines of a service."""
 
     slots: int
-    """Requests that an engine runs side by side."""
+    """Maximum number of requests that an engine runs concurrently."""
     cache_tokens: int
-    """Tokens of KV cache that fit into an engine's memory."""
+    """Capacity of an engine's KV cache, in tokens."""
     bytes_per_token: float
-    """KV cache bytes of one token."""
+    """Size of one token's KV cache, in bytes."""
     link_mbps: float
-    """Bandwidth between engines, in megabits a second."""
+    """Bandwidth between two engines, in megabits a second."""
     can_move: bool = False
-    """Whether running requests can be moved to another engine."""
+    """Whether running requests can migrate to another engine."""
     can_back_up: bool = False
-    """Whether engines keep backup copies of runs elsewhere."""
+    """Whether engines can copy the KV cache of a run to another engine."""
     tokens_per_event: int = 1
     cache_watchers: int = 0
-    """Callers that an engine lets wait for cache events at once."""
+    """Maximum number of clients that may wait for an engine's cache events."""
     handle_ttl_s: float = 5.0
-    """Time after which an unused copy of a run may be dropped."""
+    """Time after which an engine may drop an unused copy of a KV cache."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ScalingBounds:
-    """Bounds and prices of ordering endpoints of a service."""
+    """Bounds and prices for the autoscaling of a service."""
 
     least: int
-    """Endpoints in each data centre, of both markets together."""
+    """Minimum endpoints in each data centre, of both markets together."""
     most: int
+    """Maximum endpoints in each data centre."""
     boot_s: float
     reclaimable_price: float | None
-    """Price of a reclaimable endpoint as a share; None: there are none."""
+    """Price as a fraction of on-demand; None: none can be ordered."""
     price_by_data_centre: Mapping[DataCentreName, float]
-    """Price of an on-demand endpoint a second; data centres not named
-    cannot be ordered in."""
+    """Price a second of an on-demand endpoint.
+
+    Endpoints can be ordered only in the data centres listed here.
+    """
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ServiceEntry:
-    """A service behind the routes."""
+    """A service that routes refer to."""
 
     name: ServiceName
     health_path: str = '/'
     max_connections: int = 0
-    """Connections that an endpoint takes from all daemons together."""
+    """Maximum connections to one endpoint from all daemons together."""
     engine: EngineTraits | None = None
-    """None: a plain service."""
+    """None: a plain service without model engines."""
     scaling: ScalingBounds | None = None
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class UsageCap:
-    """Limit on what a client account may use, across all daemons."""
+    """Token bucket that limits a client account across all daemons."""
 
     rate_per_s: float
     burst: float
     is_in_tokens: bool = False
-    """Whether both are counted in tokens and not in requests."""
+    """Whether rate and burst count model tokens instead of requests."""
     default_tokens: float = 1.0
-    """Tokens that a request counts for that states none."""
+    """Model tokens charged for a request that declares none."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -133,13 +136,13 @@
 
     id: AccountId
     priority: int | None = None
-    """Goes before the priority of the route."""
+    """Overrides the priority of the route."""
     cap: UsageCap | None = None
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class TrafficLimits:
-    """What a caller may send and how long it may take."""
+    """Size limits and time-outs for callers."""
 
     max_header_bytes: int = 16 * 1024
     max_body_bytes: int = 4 * 1024 * 1024
@@ -152,10 +155,10 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class GatewayConfiguration:
-    """One version of what operators configured."""
+    """One version of the operators' configuration."""
 
     version: int = 0
-    """0: nothing has been configured yet."""
+    """0: no configuration exists yet."""
     routes_by_host: Mapping[str, RoutesByPrefix] = field(default_factory=dict)
     services_by_name: Mapping[ServiceName, ServiceEntry] = field(
         default_factory=dict
@@ -165,15 +168,15 @@
         default_factory=dict
     )
     needs_key: bool = False
-    """Whether callers need a key on routes that are not anonymous."""
+    """Whether routes that are not anonymous require an API key."""
     limits: TrafficLimits = field(default_factory=TrafficLimits)
 
     def find_route(self, host: str, path: bytes) -> Route | None:
         """Return the route of a host with the longest matching prefix.
 
         Prefixes begin and end with a slash, so only the parts of the path
-        up to each of its slashes can be one: the work depends on the path
-        and not on the number of routes.
+        that end at a slash need a look-up. The cost grows with the number
+        of slashes in the path and not with the number of routes.
         """
         by_prefix = self.routes_by_host.get(host)
         if by_prefix is None:
@@ -188,7 +191,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ConfigurationDocument:
-    """A configuration, and the bytes from which it was read."""
+    """A configuration and the encoded document it was parsed from."""
 
     configuration: GatewayConfiguration
     data: bytes
--- a/packages/mimosamux-daemon/mimosamux_daemon/domain/store.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/domain/store.py
@@ -1,11 +1,11 @@
-"""Rows and transactions of the platform's table, and their outcomes."""
+"""Rows, transactions and commit outcomes of the platform's table."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Row:
-    """A row as read; `version` goes up with each write, from 1."""
+    """A row as read; `version` starts at 1, increases with each write."""
 
     key: str
     value: bytes
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Check:
-    """Condition of a transaction: the row has this version."""
+    """Precondition of a transaction: the row has this version."""
 
     key: str
     version: int
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Write:
-    """Write of a transaction; a value of None deletes the row."""
+    """One write of a transaction; the value None deletes the row."""
 
     key: str
     value: bytes | None
@@ -31,14 +31,17 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Committed:
-    """All writes took effect together; versions by key of the row."""
+    """All writes took effect atomically; `versions` by row key."""
 
     versions: dict[str, int]
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Conflict:
-    """A check failed and nothing was written."""
+    """A precondition failed and nothing was written.
+
+    `found` is the row at `key`; None: there is none.
+    """
 
     key: str
     found: Row | None
@@ -46,9 +49,9 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Unavailable:
-    """The platform did not answer properly.
+    """The platform sent no valid answer.
 
-    With `may_have_landed` the call may have taken effect all the same.
+    If `may_have_landed`, the call may have taken effect nevertheless.
     """
 
     reason: str
--- a/packages/mimosamux-daemon/mimosamux_daemon/domain/vms.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/domain/vms.py
@@ -1,4 +1,4 @@
-"""VMs of the platform: what they are, cost, and when they go away."""
+"""VMs of the platform, their prices, and notices of reclamation."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -13,7 +13,7 @@
 
 
 class VMState(StrEnum):
-    """State of a VM as the platform's lagging list shows it."""
+    """State of a VM in the platform's list, which lags behind."""
 
     STARTING = 'starting'
     LIVE = 'live'
@@ -21,14 +21,14 @@
 
 
 class VMRole(StrEnum):
-    """What a VM was started for."""
+    """Purpose of a VM."""
 
     ENDPOINT = 'endpoint'
     ENTRY = 'entry'
 
 
 class Market(StrEnum):
-    """How a VM is paid for."""
+    """Pricing model of a VM."""
 
     RECLAIMABLE = 'reclaimable'
     ON_DEMAND = 'on_demand'
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class VM:
-    """A VM in the platform's list."""
+    """Entry of the platform's list of VMs."""
 
     id: VMId
     data_centre: DataCentreName
@@ -47,15 +47,15 @@
     address: str = ''
     """`host:port`; empty until the VM has one."""
     order_id: str = ''
-    """Operation id of the order that started it."""
+    """Operation id of the order that started the VM."""
     model: ModelName | None = None
-    """Model that an endpoint VM was started for."""
+    """Model that an endpoint VM serves."""
     service: ServiceName | None = None
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Price:
-    """Price of one hour of a VM; it changes over the day."""
+    """Current price of a VM an hour, which changes over the day."""
 
     data_centre: DataCentreName
     machine_class: str
@@ -65,7 +65,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ReclaimNotice:
-    """The platform takes a VM back in `seconds_left` seconds."""
+    """The platform reclaims a VM in `seconds_left` seconds."""
 
     vm: VMId
     seconds_left: float
@@ -73,7 +73,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Endpoint:
-    """A model engine or a plain service that takes requests."""
+    """A model engine or a replica of a plain service."""
 
     id: EndpointId
     vm: VMId
@@ -85,4 +85,4 @@
     model_version: str = ''
     service: ServiceName | None = None
     checks_fencing: bool = False
-    """True: orders with an old fencing number are refused by it."""
+    """Whether it refuses orders with an outdated fencing token."""
--- a/packages/mimosamux-daemon/mimosamux_daemon/domain/work.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/domain/work.py
@@ -1,4 +1,4 @@
-"""Classes of work, client accounts and the requests they send."""
+"""Work classes, client accounts, model requests and service calls."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -14,63 +14,63 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class WorkClass:
-    """What operators promise for one kind of work; times are seconds."""
+    """Service-level targets and limits of one kind of work."""
 
     name: ClassName
     first_token_s: float
-    """Latency target of the first token for 95 in 100 requests."""
+    """Target for the 95th percentile of the time to first token."""
     token_interval_s: float = 0.033
-    """Target of the time between two tokens for 95 in 100."""
+    """Target for the 95th percentile of the time between two tokens."""
     cost_ceiling_per_hour: float = float('inf')
-    """Most that the endpoints of this class may cost, in money an hour."""
+    """Maximum cost an hour of the endpoints of this class."""
     deadline_s: float = 600.0
-    """An accepted request is given up on after this time."""
+    """Time after which an accepted request is abandoned."""
     priority: int = 0
-    """Handed to the engine; a larger number goes first."""
+    """Scheduling priority at the engine; a larger number goes first."""
     durable: bool = False
-    """Accepted requests survive the sudden death of their daemon."""
+    """Whether accepted requests survive a crash of their daemon."""
     repeatable: bool = True
-    """False: a call of this class runs at most once."""
+    """Whether calls may be retried; False: at most once."""
     cancel_when_gone: bool = False
-    """Cancel the engine's stream when the caller has hung up."""
+    """Whether the engine's stream is cancelled if the caller disconnects."""
     retry_share: float = 0.1
-    """Retries allowed, as a share of recent requests of the class."""
+    """Retry budget as a fraction of recent requests of the class."""
     recompute_weight: float = 1.0
-    """Cost of one token computed again, in first-token seconds a 1000."""
+    """Cost of 1000 recomputed tokens, in seconds of time to first token."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Account:
-    """A client account; its keys are kept only as SHA-256 digests."""
+    """A client account; its API keys are stored as SHA-256 digests."""
 
     id: AccountId
     key_digests: tuple[str, ...]
     share: float = 1.0
-    """Weight of the account when capacity is short."""
+    """Weight of the account in fair sharing under overload."""
     max_open: int = 1000
-    """Requests that the account may have open at one daemon."""
+    """Maximum open requests of the account at one daemon."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ModelRequest:
-    """One accepted or offered model request, as the daemon works on it."""
+    """A model request, before or after its admission."""
 
     id: RequestId
     account: AccountId
     work_class: WorkClass
     model: ModelName
     prompt: str
-    """Canonical text of the whole prompt; its bytes are hashed."""
+    """Canonical text of the entire prompt; its bytes are hashed."""
     max_tokens: int
     arrived: float
-    """Time of `anyio.current_time` when the request came in."""
+    """Arrival time, by `anyio.current_time`."""
     idempotency_key: str | None = None
     parameters: Mapping[str, object] = field(default_factory=dict)
-    """Sampling parameters that are passed to the engine unread."""
+    """Sampling parameters, forwarded to the engine without checks."""
 
     @property
     def deadline(self) -> float:
-        """Time after which the request is given up on."""
+        """Time at which the request is abandoned."""
         return self.arrived + self.work_class.deadline_s
 
 
@@ -89,9 +89,9 @@
     arrived: float
     idempotency_key: str | None = None
     is_first: bool = False
-    """The caller says that it has not sent this key before."""
+    """Whether the caller states that this idempotency key is new."""
 
     @property
     def deadline(self) -> float:
-        """Time after which the call is given up on."""
+        """Time at which the call is abandoned."""
         return self.arrived + self.work_class.deadline_s
