--- a/benchmarks/bench_owner.py
+++ b/benchmarks/bench_owner.py
@@ -115,7 +115,7 @@
     for id_, line in zip(ids, lines, strict=True):
         report = ReportModel.model_validate_json(line).as_report(id_)
         if report is not None:
-            fleet.take_report(report)  # type: ignore[arg-type]
+            fleet.apply_report(report)  # type: ignore[arg-type]
             writer.note(report)
     for number, line in enumerate(events):
         id_ = ids[number % len(ids)]
--- a/benchmarks/bench_routing.py
+++ b/benchmarks/bench_routing.py
@@ -102,7 +102,7 @@
 
 def _report_all(fleet: Fleet, rng: random.Random) -> None:
     for endpoint in fleet.by_id:
-        fleet.take_report(make_report(endpoint, rng))
+        fleet.apply_report(make_report(endpoint, rng))
 
 
 def make_report(endpoint: EndpointId, rng: random.Random) -> LoadReport:
@@ -262,7 +262,7 @@
         await anyio.sleep(1)
         for id_ in ids[:owned]:
             report = make_report(id_, rng)
-            fleet.take_report(report)
+            fleet.apply_report(report)
             writer.note(report)
         for number in range(20):
             blocks = [rng.getrandbits(64) for _ in range(2 * BLOCKS)]
--- a/benchmarks/decisions/day.py
+++ b/benchmarks/decisions/day.py
@@ -383,11 +383,11 @@
             return
         late = self._reports.get(id_)
         if late is not None:
-            self.fleet.take_report(late)
+            self.fleet.apply_report(late)
             for event in engine.take_cache_events():
-                self.fleet.take_cache_event(event)
+                self.fleet.apply_cache_event(event)
         else:
-            self.fleet.take_cache_event(engine.cache_snapshot())
+            self.fleet.apply_cache_event(engine.cache_snapshot())
         report = engine.load_report(sequence)
         self._reports[id_] = replace(report, age_s=1.0)
 
--- a/benchmarks/relay_daemon.py
+++ b/benchmarks/relay_daemon.py
@@ -74,7 +74,7 @@
             return
         while (report := await reports.receive()) is not None:
             if isinstance(report, LoadReport):
-                fleet.take_report(report)
+                fleet.apply_report(report)
 
 
 def make_endpoint(address: str, model: str) -> Endpoint:
--- a/packages/mimosamux-daemon/mimosamux_daemon/control/digests.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/control/digests.py
@@ -25,10 +25,10 @@
 from mimosamux_daemon.serving.fleet import (
     EndpointState,
     Fleet,
-    RecentWork,
-    key_of,
+    UnreportedWork,
+    hash_endpoint_id,
 )
-from mimosamux_daemon.serving.load import Sent
+from mimosamux_daemon.serving.load import SentWork
 
 DIGEST_INTERVAL_S = 1.0
 SPEED_TOLERANCE = 0.1
@@ -124,7 +124,7 @@
         budget.
         """
         now = anyio.current_time()
-        recent = self._fleet.take_recent()
+        recent = self._fleet.take_unreported()
         ids = {**self._reported_ids, **dict.fromkeys(recent)}
         items = {
             id_: self._write_load(id_, recent.get(id_), now)
@@ -160,7 +160,7 @@
         keys_each = FULL_CACHE_KEYS // max(len(known), 1)
         for id_ in known:
             state = self._fleet.by_id[id_]
-            item = EndpointDigest(endpoint=key_of(id_))
+            item = EndpointDigest(endpoint=hash_endpoint_id(id_))
             if state.report is not None:
                 _write_report(item, state, now)
                 _write_capacity(item, capacity_of(state))
@@ -178,10 +178,10 @@
         )
 
     def _write_load(
-        self, id_: EndpointId, recent: RecentWork | None, now: float
+        self, id_: EndpointId, recent: UnreportedWork | None, now: float
     ) -> EndpointDigest:
         state = self._fleet.by_id[id_]
-        item = EndpointDigest(endpoint=key_of(id_))
+        item = EndpointDigest(endpoint=hash_endpoint_id(id_))
         if id_ in self._reported_ids:
             _write_report(item, state, now)
             capacity = capacity_of(state)
@@ -218,7 +218,7 @@
             changed = self._sent_doubt_by_id.get(id_, False) != doubtful
             if stored is None and evicted is None and not changed:
                 continue
-            empty_item = EndpointDigest(endpoint=key_of(id_))
+            empty_item = EndpointDigest(endpoint=hash_endpoint_id(id_))
             item = items.setdefault(id_, empty_item)
             item.stored = stored
             item.evicted = evicted
@@ -239,7 +239,7 @@
             _apply_report(state, item, now)
         if item.sent_requests or item.ended_requests:
             state.load.note_peer(
-                Sent(
+                SentWork(
                     at=sent_at,
                     tokens=float(item.sent_tokens or 0),
                     requests=item.sent_requests or 0,
@@ -275,7 +275,7 @@
             interval_us / 1e6 if interval_us else load.decode_interval_s
         ),
     )
-    load.take_report(report, now=now)
+    load.apply_report(report, now=now)
 
 
 def _write_report(
--- a/packages/mimosamux-daemon/mimosamux_daemon/control/endpoints.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/control/endpoints.py
@@ -166,7 +166,7 @@
         with anyio.move_on_after(self._policy.timeout_s):
             prices = await self._cloud.list_prices()
             if not isinstance(prices, Unavailable):
-                self._prices.take(prices)
+                self._prices.update(prices)
 
     async def announce_leaving(
         self, seconds_left_by_id: dict[EndpointId, float]
--- a/packages/mimosamux-daemon/mimosamux_daemon/control/feasibility.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/control/feasibility.py
@@ -40,7 +40,7 @@
     def _find_problem(
         self, path: str, work_class: WorkClass
     ) -> Invalid | None:
-        cheapest = min(self.prices.by_place.values(), default=0.0)
+        cheapest = min(self.prices.by_pool.values(), default=0.0)
         if work_class.cost_ceiling_per_hour < cheapest:
             return Invalid(
                 path=f'{path}.cost_ceiling_per_hour',
--- a/packages/mimosamux-daemon/mimosamux_daemon/control/ownership.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/control/ownership.py
@@ -205,9 +205,9 @@
 
     def _apply_report(self, report: EngineReport) -> None:
         if isinstance(report, LoadReport):
-            self._fleet.take_report(report)
+            self._fleet.apply_report(report)
         else:
-            self._fleet.take_cache_event(report)
+            self._fleet.apply_cache_event(report)
         self._writer.note(report)
 
     async def _send_digests(self) -> None:
--- a/packages/mimosamux-daemon/mimosamux_daemon/serving/endpoint_state.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/serving/endpoint_state.py
@@ -1,4 +1,4 @@
-"""What a daemon knows of one endpoint, and the work it sent there."""
+"""State of one endpoint at a daemon, and the work sent to it."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass, field
@@ -9,7 +9,7 @@
 from mimosamux_daemon.domain.names import RequestId
 from mimosamux_daemon.domain.vms import Endpoint
 from mimosamux_daemon.serving.load import Load
-from mimosamux_daemon.serving.prices import Place
+from mimosamux_daemon.serving.prices import CapacityPool
 from mimosamux_daemon.serving.service_times import (
     DEFAULT_SERVICE_S,
     WorkKind,
@@ -17,27 +17,27 @@
 
 STATE_NAMES = ('serving', 'suspected', 'leaving')
 SUSPECT_AFTER = 2
-"""Failed connects in a row after which an endpoint is avoided."""
+"""Consecutive failed connects after which an endpoint is suspected."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class PromptWork:
-    """What an attempt gives its endpoint to do."""
+    """Estimated work of an attempt at its endpoint."""
 
     tokens: float = 512.0
-    """Prompt tokens that are likely not in the prefix cache."""
+    """Prompt tokens to prefill: those likely not in the prefix cache."""
     blocks: Sequence[int] = ()
-    """Hashes of the prompt's blocks, cached there afterwards."""
+    """Hashes of the prompt's blocks, which the endpoint will cache."""
     kind: WorkKind | None = None
     wait_s: float = 0.0
-    """Estimated wait for the prompt's turn and a slot."""
+    """Estimated time in the queue, until prefill starts."""
     service_s: float = DEFAULT_SERVICE_S
-    """Estimated time in a slot."""
+    """Estimated time that the request holds a slot."""
 
 
 @dataclass(kw_only=True, slots=True)
-class RecentWork:
-    """What this daemon sent to an endpoint since its last digest."""
+class UnreportedWork:
+    """Work sent to an endpoint since this daemon's last digest."""
 
     tokens: float = 0.0
     requests: int = 0
@@ -45,55 +45,57 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Started:
-    """When an attempt likely got its slot, and when it likely ends."""
+class SlotUse:
+    """Estimated times at which an attempt gets and frees its slot."""
 
     kind: WorkKind | None
-    at: float
+    starts_at: float
     ends_at: float
 
 
 @dataclass(kw_only=True, slots=True, eq=False)
 class EndpointState:
-    """What is known of one endpoint."""
+    """State of one endpoint, as this daemon knows it."""
 
     endpoint: Endpoint
-    place: Place
+    pool: CapacityPool
     leaving: anyio.Event = field(default_factory=anyio.Event)
-    """Set for good once the endpoint is known to go away."""
+    """Set once the endpoint is about to go away; never reset."""
     leaves_at: float | None = None
-    """Time of `anyio.current_time` at which it is taken away."""
+    """Time (`anyio.current_time`) at which its VM is taken away."""
     load: Load = field(default_factory=Load)
     is_own: bool = False
-    """Whether this daemon watches it, see `Fleet.set_own`."""
+    """Whether this daemon owns the endpoint, see `Fleet.set_own`."""
     open_by_request: dict[RequestId, int] = field(default_factory=dict)
-    """Attempt number of each request that runs there from here."""
-    started_by_request: dict[RequestId, Started] = field(default_factory=dict)
+    """Attempt numbers of this daemon's requests that run there."""
+    slot_use_by_request: dict[RequestId, SlotUse] = field(default_factory=dict)
     failed_connects: int = 0
-    """Connects that failed since the last that came about."""
-    probe_at: float = 0.0
-    """Time before which a suspected endpoint is not tried again."""
+    """Failed connects since the last successful one."""
+    next_probe_at: float = 0.0
+    """Time from which a suspected endpoint is tried again."""
 
     @property
     def is_leaving(self) -> bool:
-        """Whether no new work may be sent there."""
+        """Whether the endpoint goes away and gets no new work."""
         return self.leaving.is_set()
 
     @property
     def report(self) -> LoadReport | None:
-        """Newest load report, None before the first."""
+        """Newest load report; None before the first."""
         return self.load.report
 
     def slot_wait_s(
         self, now: float, service_s: float, *, occupied: float
     ) -> float:
-        """Return the wait for a slot if `occupied` requests fill them."""
-        ends = [each.ends_at for each in self.started_by_request.values()]
+        """Return the wait for a slot with `occupied` requests there."""
+        ends = [each.ends_at for each in self.slot_use_by_request.values()]
         return self.load.slot_wait_s(now, service_s, ends, occupied=occupied)
 
     def is_suspected(self, now: float) -> bool:
-        """Whether connects fail there and the next probe is not due."""
-        return self.failed_connects >= SUSPECT_AFTER and now < self.probe_at
+        """Whether connects have failed and the next probe is not due."""
+        return (
+            self.failed_connects >= SUSPECT_AFTER and now < self.next_probe_at
+        )
 
     def state_name(self, now: float) -> str:
         """Return one of `STATE_NAMES`."""
--- a/packages/mimosamux-daemon/mimosamux_daemon/serving/estimates.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/serving/estimates.py
@@ -20,18 +20,18 @@
     hash_prompt,
 )
 from mimosamux_daemon.serving.prices import (
+    CapacityPool,
     Distances,
-    Place,
     PriceBook,
 )
 from mimosamux_daemon.serving.service_times import WorkKind
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class PlaceTerms:
+class PoolCosts:
     """What the place of an endpoint adds to its estimates."""
 
-    away_s: float
+    round_trip_s: float
     is_near: bool
     money_weight: float
     recompute_weight: float
@@ -102,25 +102,25 @@
             request.model,
             unseen_s=request.max_tokens * DEFAULT_DECODE_INTERVAL_S,
         )
-        terms_by_place: dict[Place, PlaceTerms] = {}
+        costs_by_pool: dict[CapacityPool, PoolCosts] = {}
         candidates = []
         for state in states:
-            terms = terms_by_place.get(state.place)
-            if terms is None:
-                terms = self._terms_of(state.place)
-                terms_by_place[state.place] = terms
+            costs = costs_by_pool.get(state.pool)
+            if costs is None:
+                costs = self._pool_costs(state.pool)
+                costs_by_pool[state.pool] = costs
             candidates.append(
-                self._estimate(state, request, prompt, now, service_s, terms)
+                self._estimate(state, request, prompt, now, service_s, costs)
             )
         return candidates
 
-    def _terms_of(self, place: Place) -> PlaceTerms:
+    def _pool_costs(self, pool: CapacityPool) -> PoolCosts:
         weights = self._configuration()
-        one_way_s = self._distances.one_way_s(place.data_centre)
-        return PlaceTerms(
-            away_s=2 * one_way_s,
-            is_near=self._distances.is_near(place.data_centre),
-            money_weight=weights.cost_weight * self._prices.relative(place),
+        one_way_s = self._distances.one_way_s(pool.data_centre)
+        return PoolCosts(
+            round_trip_s=2 * one_way_s,
+            is_near=self._distances.is_near(pool.data_centre),
+            money_weight=weights.cost_weight * self._prices.relative(pool),
             recompute_weight=weights.recompute_weight / 1000,
         )
 
@@ -151,7 +151,7 @@
         prompt: Prompt,
         now: float,
         service_s: float,
-        terms: PlaceTerms,
+        costs: PoolCosts,
     ) -> Candidate:
         load = state.load
         cached = self._fleet.cache.cached_tokens(
@@ -159,10 +159,10 @@
         )
         uncached = max(prompt.tokens - cached, 1.0)
         prefill_s = uncached / load.prefill_tokens_per_s
-        seen = load.look(now)
-        unseen = self._unsure * math.sqrt(seen.unseen_requests)
-        unsure_s = unseen * prefill_s
-        occupied = seen.occupied + unseen
+        seen = load.estimate(now)
+        unreported = self._unsure * math.sqrt(seen.unreported_requests)
+        unsure_s = unreported * prefill_s
+        occupied = seen.occupied + unreported
         if not state.is_own:
             occupied += self._kept_slots * load.slots
         wait_s = seen.backlog_s
@@ -172,7 +172,7 @@
         decode_s = request.max_tokens * load.decode_interval_s / load.slots
         recompute = request.work_class.recompute_weight * uncached
         first_token_s = (
-            terms.away_s
+            costs.round_trip_s
             + wait_s
             + unsure_s
             + prefill_s
@@ -180,9 +180,9 @@
         )
         cost = (
             self._wait_weight * (wait_s + unsure_s)
-            + terms.money_weight * (prefill_s + decode_s)
-            + terms.recompute_weight * recompute
+            + costs.money_weight * (prefill_s + decode_s)
+            + costs.recompute_weight * recompute
         )
         return Candidate(
-            state, first_token_s, cost, wait_s, cached, terms.is_near
+            state, first_token_s, cost, wait_s, cached, costs.is_near
         )
--- a/packages/mimosamux-daemon/mimosamux_daemon/serving/fair_shares.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/serving/fair_shares.py
@@ -45,7 +45,7 @@
     admitted: float
 
 
-def key_of_account(account: AccountId) -> int:
+def hash_account_id(account: AccountId) -> int:
     """Return the signed 32-bit hash of an account id in digests."""
     return int.from_bytes(
         xxhash.xxh32_digest(account.encode()), 'big', signed=True
@@ -74,7 +74,7 @@
         if now - self._computed_at >= FAIR_LEVEL_INTERVAL_S:
             self._decay(now)
             self._fair_level = self._compute_fair_level()
-        key = key_of_account(account)
+        key = hash_account_id(account)
         for by_key in (self._by_key, self._delta_by_key):
             use = by_key.setdefault(key, AccountUse())
             use.share = share
@@ -82,7 +82,7 @@
 
     def note_admitted(self, account: AccountId, *, tokens: float) -> None:
         """Count admitted work; call `note_offered` for it first."""
-        key = key_of_account(account)
+        key = hash_account_id(account)
         self._by_key[key].admitted += tokens
         self._delta_by_key.setdefault(key, AccountUse()).admitted += tokens
 
@@ -113,7 +113,7 @@
 
     def is_known(self, account: AccountId) -> bool:
         """Whether the account has recent demand."""
-        return key_of_account(account) in self._by_key
+        return hash_account_id(account) in self._by_key
 
     def is_over(self, account: AccountId) -> bool:
         """Whether an account asks for more than its fair share and has it.
@@ -121,7 +121,7 @@
         An account that has not reached its fair share is not over, and
         no account is over while all demand is met.
         """
-        use = self._by_key[key_of_account(account)]
+        use = self._by_key[hash_account_id(account)]
         fair = self._fair_level * use.share
         return use.offered > fair and use.admitted >= fair * FAIR_FRACTION
 
--- a/packages/mimosamux-daemon/mimosamux_daemon/serving/fleet.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/serving/fleet.py
@@ -1,4 +1,4 @@
-"""Endpoints that a daemon knows, and what it sent to them."""
+"""Registry of the known endpoints, their load and the work sent to them."""
 
 from collections.abc import Iterable, Iterator, Mapping, Sequence
 
@@ -18,12 +18,12 @@
     SUSPECT_AFTER,
     EndpointState,
     PromptWork,
-    RecentWork,
-    Started,
+    SlotUse,
+    UnreportedWork,
 )
-from mimosamux_daemon.serving.load import Sent
+from mimosamux_daemon.serving.load import SentWork
 from mimosamux_daemon.serving.prefix_cache import PrefixCache
-from mimosamux_daemon.serving.prices import Place, place_of
+from mimosamux_daemon.serving.prices import CapacityPool, pool_of
 from mimosamux_daemon.serving.service_times import (
     ServiceTimes,
 )
@@ -34,23 +34,24 @@
     'EndpointState',
     'Fleet',
     'PromptWork',
-    'RecentWork',
-    'key_of',
+    'UnreportedWork',
+    'hash_endpoint_id',
 ]
 
-FIRST_PROBE_S = 0.5
-LAST_PROBE_S = 30.0
+MIN_PROBE_INTERVAL_S = 0.5
+MAX_PROBE_INTERVAL_S = 30.0
+"""The time to the next probe of a suspected endpoint doubles up to this."""
 
 
-StatesByPlace = Mapping[Place, Sequence[EndpointState]]
-NO_STATES: StatesByPlace = {}
+StatesByPool = Mapping[CapacityPool, Sequence[EndpointState]]
+NO_STATES: StatesByPool = {}
 
 
 class Fleet:
     """Endpoints by id, by model and by service.
 
-    The lists by model and by service hold only endpoints that take new
-    work, so that no choice has to pass over the others.
+    The lists by model and by service hold only endpoints that accept new
+    work, so routing does not have to skip the others.
     """
 
     def __init__(self, *, cache: PrefixCache | None = None) -> None:
@@ -58,46 +59,48 @@
         self.cache = PrefixCache() if cache is None else cache
         self.service_times = ServiceTimes()
         self.changed = anyio.Event()
-        """Set, and replaced by a new one, when endpoints come or go."""
+        """Set, and replaced by a new event, when endpoints come or go."""
         self._own_by_model: dict[ModelName, list[EndpointState]] = {}
         self.by_key: dict[int, EndpointState] = {}
-        """Endpoints by the number that stands for their id in digests."""
-        self._recent_by_id: dict[EndpointId, RecentWork] = {}
-        self._by_model: dict[ModelName, dict[Place, list[EndpointState]]] = {}
+        """Endpoints by the hash of their id, which digests carry."""
+        self._unreported_by_id: dict[EndpointId, UnreportedWork] = {}
+        self._by_model: dict[
+            ModelName, dict[CapacityPool, list[EndpointState]]
+        ] = {}
         self._by_service: dict[ServiceName, list[EndpointState]] = {}
 
     def add(self, endpoint: Endpoint) -> EndpointState:
-        """Add an endpoint; one that is known keeps its state."""
+        """Add an endpoint and return its state; keep a known one's state."""
         state = self.by_id.get(endpoint.id)
         if state is not None:
             return state
-        state = EndpointState(endpoint=endpoint, place=place_of(endpoint))
+        state = EndpointState(endpoint=endpoint, pool=pool_of(endpoint))
         self.by_id[endpoint.id] = state
-        self.by_key[key_of(endpoint.id)] = state
+        self.by_key[hash_endpoint_id(endpoint.id)] = state
         if endpoint.model is not None:
-            places = self._by_model.setdefault(endpoint.model, {})
-            places.setdefault(state.place, []).append(state)
+            pools = self._by_model.setdefault(endpoint.model, {})
+            pools.setdefault(state.pool, []).append(state)
         if endpoint.service is not None:
             self._by_service.setdefault(endpoint.service, []).append(state)
-        self._wake()
+        self._notify_changed()
         return state
 
     def remove(self, endpoint: EndpointId) -> None:
-        """Forget an endpoint that is gone; its streams see it leave."""
+        """Remove an endpoint that is gone; its streams see `leaving` set."""
         state = self.by_id.pop(endpoint, None)
         if state is None:
             return
-        self._take_out(state)
+        self._remove_from_lists(state)
         state.leaving.set()
-        self.by_key.pop(key_of(endpoint), None)
-        self._recent_by_id.pop(endpoint, None)
+        self.by_key.pop(hash_endpoint_id(endpoint), None)
+        self._unreported_by_id.pop(endpoint, None)
         self.cache.drop(endpoint)
-        self._wake()
+        self._notify_changed()
 
     def mark_leaving(
         self, endpoint: EndpointId, *, seconds_left: float
     ) -> None:
-        """Take an endpoint out of every choice from now on."""
+        """Send an endpoint no new work; it is gone in `seconds_left`."""
         state = self.by_id.get(endpoint)
         if state is None:
             return
@@ -105,28 +108,28 @@
         if state.leaves_at is None or leaves_at < state.leaves_at:
             state.leaves_at = leaves_at
         if not state.is_leaving:
-            self._take_out(state)
+            self._remove_from_lists(state)
             state.leaving.set()
-            self._wake()
+            self._notify_changed()
 
     def serving_model(self, model: ModelName) -> Iterator[EndpointState]:
-        """Return the endpoints of a model that take new work."""
-        for states in self.places_of(model).values():
+        """Return the endpoints of a model that accept new work."""
+        for states in self.pools_of(model).values():
             yield from states
 
-    def places_of(self, model: ModelName) -> StatesByPlace:
-        """Return the endpoints of a model that take new work, by place."""
+    def pools_of(self, model: ModelName) -> StatesByPool:
+        """Return the endpoints of a model that accept new work, by pool."""
         return self._by_model.get(model, NO_STATES)
 
-    def own_of(self, model: ModelName) -> Sequence[EndpointState]:
-        """Return this daemon's own endpoints of a model, see `set_own`."""
+    def own_endpoints(self, model: ModelName) -> Sequence[EndpointState]:
+        """Return the endpoints of a model that this daemon owns."""
         return self._own_by_model.get(model, ())
 
     def set_own(self, endpoint: EndpointId, *, is_own: bool) -> None:
-        """Note whether this daemon watches the endpoint.
+        """Set whether this daemon owns the endpoint.
 
-        Its reports come straight from there and this daemon sends most
-        of its work, so its estimate is the surest.
+        The owner receives the endpoint's reports directly and sends most
+        of its work, so it has the most accurate load estimate.
         """
         state = self.by_id.get(endpoint)
         if state is None or state.is_own == is_own:
@@ -142,7 +145,7 @@
             own.remove(state)
 
     def serving_service(self, service: ServiceName) -> Iterable[EndpointState]:
-        """Return the endpoints of a service that take new work."""
+        """Return the endpoints of a service that accept new work."""
         return self._by_service.get(service, ())
 
     def note_sent(
@@ -161,37 +164,43 @@
         now = anyio.current_time()
         state.open_by_request[request] = attempt
         started_at = now + work.wait_s
-        state.started_by_request[request] = Started(
-            kind=work.kind, at=started_at, ends_at=started_at + work.service_s
+        state.slot_use_by_request[request] = SlotUse(
+            kind=work.kind,
+            starts_at=started_at,
+            ends_at=started_at + work.service_s,
         )
-        state.load.note(Sent(at=now, tokens=work.tokens))
-        recent = self._recent_by_id.setdefault(endpoint, RecentWork())
-        recent.tokens += work.tokens
-        recent.requests += 1
+        state.load.note_own(SentWork(at=now, tokens=work.tokens))
+        unreported = self._unreported_by_id.setdefault(
+            endpoint, UnreportedWork()
+        )
+        unreported.tokens += work.tokens
+        unreported.requests += 1
         if work.blocks:
             self.cache.add(endpoint, work.blocks)
 
     def note_finished(self, endpoint: EndpointId, request: RequestId) -> None:
-        """Stop counting an attempt."""
+        """Count an attempt as ended."""
         state = self.by_id.get(endpoint)
         if state is None or state.open_by_request.pop(request, None) is None:
             return
         now = anyio.current_time()
-        state.load.note(Sent(at=now, tokens=0.0, requests=0, ended=1))
-        self._recent_by_id.setdefault(endpoint, RecentWork()).ended += 1
-        started = state.started_by_request.pop(request)
-        # An attempt without a connection held no slot; learnt as a short
-        # time, it would promise slots that are far from free.
+        state.load.note_own(SentWork(at=now, tokens=0.0, requests=0, ended=1))
+        self._unreported_by_id.setdefault(
+            endpoint, UnreportedWork()
+        ).ended += 1
+        slot_use = state.slot_use_by_request.pop(request)
+        # An attempt that did not connect held no slot. Counted as a short
+        # service time, it would bias the estimated slot waits downwards.
         was_sent = state.failed_connects == 0
-        if started.kind is not None and was_sent and now > started.at:
-            self.service_times.note(started.kind, now - started.at)
+        if slot_use.kind is not None and was_sent and now > slot_use.starts_at:
+            self.service_times.note(slot_use.kind, now - slot_use.starts_at)
 
     def note_connect(self, endpoint: EndpointId, *, failed: bool) -> None:
-        """Note how a connect went; repeated failures bring suspicion.
+        """Count a connect; repeated failures make the endpoint suspected.
 
-        An endpoint that died without a notice stays in the platform's
-        lagging list for a while, and every request sent to it would lose
-        time on a connect that cannot come about.
+        The platform's list lags, so it still names an endpoint for a
+        while after it died without notice. Without suspicion, every
+        request sent there would wait for a connect that must fail.
         """
         state = self.by_id.get(endpoint)
         if state is None:
@@ -201,35 +210,35 @@
             return
         state.failed_connects += 1
         doublings = min(max(state.failed_connects - SUSPECT_AFTER, 0), 10)
-        pause = min(FIRST_PROBE_S * 2**doublings, LAST_PROBE_S)
-        state.probe_at = anyio.current_time() + pause
+        pause = min(MIN_PROBE_INTERVAL_S * 2**doublings, MAX_PROBE_INTERVAL_S)
+        state.next_probe_at = anyio.current_time() + pause
 
-    def take_report(self, report: LoadReport) -> bool:
-        """Take a load report; False if a later one was known."""
+    def apply_report(self, report: LoadReport) -> bool:
+        """Apply a load report; return False if a newer one is known."""
         state = self.by_id.get(report.endpoint)
         if state is None:
             return False
-        return state.load.take_report(report, now=anyio.current_time())
+        return state.load.apply_report(report, now=anyio.current_time())
 
-    def take_cache_event(self, event: CacheEvent) -> None:
-        """Take a cache event of an endpoint that is known."""
+    def apply_cache_event(self, event: CacheEvent) -> None:
+        """Apply a cache event; ignore those of unknown endpoints."""
         if event.endpoint in self.by_id:
             self.cache.take(event)
 
-    def take_recent(self) -> dict[EndpointId, RecentWork]:
-        """Return what was sent since the last call, by endpoint."""
-        recent, self._recent_by_id = self._recent_by_id, {}
-        return recent
+    def take_unreported(self) -> dict[EndpointId, UnreportedWork]:
+        """Return and reset the work sent since the last call."""
+        unreported, self._unreported_by_id = self._unreported_by_id, {}
+        return unreported
 
-    def _take_out(self, state: EndpointState) -> None:
+    def _remove_from_lists(self, state: EndpointState) -> None:
         endpoint = state.endpoint
         if endpoint.model is not None:
-            places = self._by_model.get(endpoint.model, {})
-            states = places.get(state.place, [])
+            pools = self._by_model.get(endpoint.model, {})
+            states = pools.get(state.pool, [])
             if state in states:
                 states.remove(state)
             if not states:
-                places.pop(state.place, None)
+                pools.pop(state.pool, None)
             own = self._own_by_model.get(endpoint.model, [])
             if state in own:
                 own.remove(state)
@@ -238,12 +247,12 @@
             if state in services:
                 services.remove(state)
 
-    def _wake(self) -> None:
+    def _notify_changed(self) -> None:
         changed, self.changed = self.changed, anyio.Event()
         changed.set()
 
 
-def key_of(endpoint: EndpointId) -> int:
-    """Return the signed 32-bit number for an endpoint in digests."""
+def hash_endpoint_id(endpoint: EndpointId) -> int:
+    """Return the signed 32-bit hash of an endpoint id in digests."""
     number = xxhash.xxh32_intdigest(endpoint.encode())
     return number - (1 << 32) if number >> 31 else number
--- a/packages/mimosamux-daemon/mimosamux_daemon/serving/load.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/serving/load.py
@@ -1,10 +1,11 @@
-"""Load of one endpoint now, estimated from reports that come late.
-
-A report tells how things stood some time ago. What this daemon sent and
-saw finish since then is known exactly, what its peers sent is known from
-their digests, and what they send between two digests is taken to go on
-at the rate seen so far. Without the last part, daemons that all see the
-same idle endpoint would fill it together.
+"""Estimate of an endpoint's current load from delayed load reports.
+
+The estimate starts from the newest report, which describes the load some
+time ago. It adds the work that this daemon has sent and seen end since
+then, the work that peers report in their digests, and an extrapolation of
+the peers' recent send rate for the time since their last digest. Without
+the extrapolation, all daemons that see the same idle endpoint would send
+to it at the same time and overload it.
 """
 
 import math
@@ -18,48 +19,49 @@
 DEFAULT_DECODE_INTERVAL_S = 0.03
 DEFAULT_SLOTS = 16
 PEER_RATE_WINDOW_S = 3.0
-"""Time over which the rate of the peers' sends is averaged."""
-UNSEEN_LIMIT_S = 2.0
-"""Longest time for which unseen sends of peers are assumed."""
-MAX_NOTES = 512
-"""Sends and ends kept for each endpoint between two reports."""
+"""Time constant of the exponential average of the peers' send rate."""
+MAX_UNREPORTED_S = 2.0
+"""Longest time over which the peers' send rate is extrapolated."""
+MAX_SENT_WORK = 512
+"""Sends and completions kept per endpoint between two reports."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Sent:
-    """Work sent to an endpoint: how much, how often and when."""
+class SentWork:
+    """Work that a daemon sent to an endpoint, or saw end there."""
 
     at: float
     tokens: float
+    """Prompt tokens to prefill."""
     requests: int = 1
     ended: int = 0
-    """Requests seen to end there; `requests` may then be 0."""
+    """Requests that ended there; `requests` may then be 0."""
 
 
 @dataclass(slots=True)
-class LoadNow:
-    """Load of an endpoint now; made for each candidate of a decision."""
+class LoadEstimate:
+    """Estimated load; not frozen, as each routing decision makes many."""
 
     backlog_s: float
-    """Time that the queued prompts still take."""
+    """Time to prefill the queued prompts."""
     occupied: float
-    """Requests that run or wait there."""
-    unseen_requests: float
-    """Those of them that peers have likely sent unseen."""
+    """Requests that run or are queued there."""
+    unreported_requests: float
+    """Part of `occupied` that peers have likely sent since their digests."""
 
 
 @dataclass(kw_only=True, slots=True)
 class Load:
-    """What is known of an endpoint's queue; times are anyio's."""
+    """Queue of an endpoint; times are those of `anyio.current_time`."""
 
     report: LoadReport | None = None
     reported_at: float = -math.inf
-    """Time as of which the report is true."""
+    """Time at which the endpoint measured the report."""
     prefill_tokens_per_s: float = DEFAULT_PREFILL_TOKENS_PER_S
     decode_interval_s: float = DEFAULT_DECODE_INTERVAL_S
     slots: int = DEFAULT_SLOTS
-    _notes: deque[Sent] = field(
-        default_factory=lambda: deque(maxlen=MAX_NOTES)
+    _sent_since_report: deque[SentWork] = field(
+        default_factory=lambda: deque(maxlen=MAX_SENT_WORK)
     )
     _backlog: float = 0.0
     _backlog_at: float = -math.inf
@@ -68,8 +70,8 @@
     _peer_tokens: float = 0.0
     _peer_requests: float = 0.0
 
-    def take_report(self, report: LoadReport, *, now: float) -> bool:
-        """Take a report unless one of a later time is known."""
+    def apply_report(self, report: LoadReport, *, now: float) -> bool:
+        """Apply a report; return False if it is older than the last one."""
         as_of = now - report.age_s
         if as_of <= self.reported_at:
             return False
@@ -81,39 +83,39 @@
         self._replay()
         return True
 
-    def note(self, sent: Sent) -> None:
+    def note_own(self, sent: SentWork) -> None:
         """Count work that this daemon sent or saw end."""
         if sent.at <= self.reported_at:
             return
-        self._notes.append(sent)
-        self._add(sent)
+        self._sent_since_report.append(sent)
+        self._apply(sent)
 
-    def note_peer(self, sent: Sent) -> None:
-        """Count what a peer's digest tells of its sends."""
+    def note_peer(self, sent: SentWork) -> None:
+        """Count work that a peer reports in a digest."""
         decay = self._decay(sent.at)
         self._peer_tokens = self._peer_tokens * decay + sent.tokens
         self._peer_requests = self._peer_requests * decay + sent.requests
         self._peers_at = max(self._peers_at, sent.at)
         if sent.at <= self.reported_at:
             return
-        self._notes.append(sent)
+        self._sent_since_report.append(sent)
         if sent.at < self._backlog_at:
             self._replay()
         else:
-            self._add(sent)
+            self._apply(sent)
 
-    def look(self, now: float) -> LoadNow:
-        """Return the load as it is likely to be now."""
+    def estimate(self, now: float) -> LoadEstimate:
+        """Return the estimated load at the time `now`."""
         drained = self.prefill_tokens_per_s * (now - self._backlog_at)
         backlog = max(0.0, self._backlog - drained) if self._backlog else 0.0
         if not self._peer_requests:
-            return LoadNow(
+            return LoadEstimate(
                 backlog / self.prefill_tokens_per_s, self._occupied, 0.0
             )
-        unseen = self._unseen_s(now) / PEER_RATE_WINDOW_S
-        backlog += self._peer_tokens * unseen
-        requests = self._peer_requests * unseen
-        return LoadNow(
+        unreported = self._unreported_s(now) / PEER_RATE_WINDOW_S
+        backlog += self._peer_tokens * unreported
+        requests = self._peer_requests * unreported
+        return LoadEstimate(
             backlog / self.prefill_tokens_per_s,
             self._occupied + requests,
             requests,
@@ -127,11 +129,13 @@
         *,
         occupied: float,
     ) -> float:
-        """Return the wait for a slot if each is held for `service_s`.
+        """Return the wait for a slot if each request holds one `service_s`.
 
-        `ends` are the times at which known requests likely end. Requests
-        that came together end together, and the mean alone would promise
-        a slot long before the first of them is done.
+        `ends` are the estimated end times of this daemon's requests, and
+        `occupied` is the number of requests that run or are queued.
+        Requests that started together also end together; the mean
+        departure rate alone would predict a free slot long before the
+        first of them ends.
         """
         ahead = occupied - self.slots + 1
         mean_s = ahead / self.slots * service_s
@@ -142,38 +146,42 @@
             return mean_s
         return max(mean_s, sorted(ends)[index] - now)
 
-    def _unseen_s(self, now: float) -> float:
-        """Return the time of sends unseen, at the rate of the last."""
+    def _unreported_s(self, now: float) -> float:
+        """Return the time to extrapolate sends over, weighted by decay."""
         since = now - max(self._peers_at, self.reported_at)
-        return min(max(since, 0.0), UNSEEN_LIMIT_S) * self._decay(now)
+        return min(max(since, 0.0), MAX_UNREPORTED_S) * self._decay(now)
 
     def _decay(self, now: float) -> float:
         if self._peers_at == -math.inf:
             return 1.0
-        passed = max(now - self._peers_at, 0.0)
-        return math.exp(-passed / PEER_RATE_WINDOW_S)
+        elapsed_s = max(now - self._peers_at, 0.0)
+        return math.exp(-elapsed_s / PEER_RATE_WINDOW_S)
 
     def _replay(self) -> None:
-        kept = [note for note in self._notes if note.at > self.reported_at]
+        kept = [
+            sent
+            for sent in self._sent_since_report
+            if sent.at > self.reported_at
+        ]
         kept.sort(key=_time_of)
-        self._notes.clear()
+        self._sent_since_report.clear()
         report = self.report
         self._backlog = float(report.queued_prefill_tokens if report else 0)
         self._occupied = report.running + report.waiting if report else 0
         self._backlog_at = self.reported_at
-        for note in kept:
-            self._notes.append(note)
-            self._add(note)
+        for sent in kept:
+            self._sent_since_report.append(sent)
+            self._apply(sent)
 
-    def _add(self, sent: Sent) -> None:
+    def _apply(self, sent: SentWork) -> None:
         if self._backlog:
-            passed = sent.at - self._backlog_at
-            left = self._backlog - passed * self.prefill_tokens_per_s
+            elapsed_s = sent.at - self._backlog_at
+            left = self._backlog - elapsed_s * self.prefill_tokens_per_s
             self._backlog = max(0.0, left)
         self._backlog_at = sent.at
         self._backlog += sent.tokens
         self._occupied = max(self._occupied + sent.requests - sent.ended, 0)
 
 
-def _time_of(sent: Sent) -> float:
+def _time_of(sent: SentWork) -> float:
     return sent.at
--- a/packages/mimosamux-daemon/mimosamux_daemon/serving/routing.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/serving/routing.py
@@ -24,7 +24,7 @@
     PromptWork,
 )
 from mimosamux_daemon.serving.prefix_cache import pick_holders
-from mimosamux_daemon.serving.prices import Distances, Place, PriceBook
+from mimosamux_daemon.serving.prices import CapacityPool, Distances, PriceBook
 
 ItemT = TypeVar('ItemT')
 
@@ -42,7 +42,7 @@
     """Endpoints looked at before a request is refused."""
     holders: int = 4
     """Endpoints with the longest cached prefix that are looked at."""
-    places: int = 6
+    pools: int = 6
     """Places that a sample is spread over, nearest and cheapest first."""
     target_share: float = 0.5
     """Share of the target up to which the cheapest endpoint is taken."""
@@ -199,9 +199,11 @@
         now = anyio.current_time()
         by_id = {
             state.endpoint.id: state
-            for state in self._sample_places(request.model, size)
+            for state in self._sample_pools(request.model, size)
         }
-        for state in self._sample(self._fleet.own_of(request.model), size):
+        for state in self._sample(
+            self._fleet.own_endpoints(request.model), size
+        ):
             by_id[state.endpoint.id] = state
         limit = self._policy.holders
         for holder in pick_holders(prompt.levels, limit, self._rng):
@@ -259,22 +261,22 @@
             retry_after_s=round(wait_s * self._rng.uniform(1.0, 1.5), 3),
         )
 
-    def _sample_places(
+    def _sample_pools(
         self, model: ModelName, size: int
     ) -> Iterator[EndpointState]:
-        places = self._fleet.places_of(model)
-        if not places:
+        pools = self._fleet.pools_of(model)
+        if not pools:
             return
-        chosen = list(places)
-        if len(chosen) > self._policy.places:
-            chosen = sorted(chosen, key=self._rank)[: self._policy.places]
+        chosen = list(pools)
+        if len(chosen) > self._policy.pools:
+            chosen = sorted(chosen, key=self._rank)[: self._policy.pools]
         share = max(size // len(chosen), 1)
-        for place in chosen:
-            yield from self._sample(places[place], share)
+        for pool in chosen:
+            yield from self._sample(pools[pool], share)
 
-    def _rank(self, place: Place) -> tuple[float, float]:
-        away_s = self._distances.one_way_s(place.data_centre)
-        return away_s, self._prices.relative(place)
+    def _rank(self, pool: CapacityPool) -> tuple[float, float]:
+        away_s = self._distances.one_way_s(pool.data_centre)
+        return away_s, self._prices.relative(pool)
 
     def _sample(self, items: Sequence[ItemT], size: int) -> Sequence[ItemT]:
         if len(items) <= size:
--- a/packages/mimosamux-daemon/mimosamux_daemon/status_parts.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/status_parts.py
@@ -29,7 +29,7 @@
                 'serves': state.endpoint.model or state.endpoint.service,
                 'state': 'leaving' if state.is_leaving else 'ready',
                 'market': state.endpoint.market,
-                'per_hour': self.serving.prices.by_place.get(state.place),
+                'per_hour': self.serving.prices.by_pool.get(state.pool),
                 'open_from_here': len(state.open_by_request),
                 'running': state.report.running if state.report else None,
                 'waiting': state.report.waiting if state.report else None,
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -12,7 +12,7 @@
 from mimosamux_daemon.serving.fair_shares import (
     FairShares,
     UsageDelta,
-    key_of_account,
+    hash_account_id,
 )
 
 from tests.support.clock import run_paused
@@ -133,7 +133,7 @@
         self.use_here(shares)
         for _ in range(10):
             elsewhere = UsageDelta(
-                key=key_of_account(LARGE.id),
+                key=hash_account_id(LARGE.id),
                 share=1.0,
                 offered=30,
                 admitted=20,
@@ -153,7 +153,7 @@
         shares = FairShares(window_s=5.0)
         self.use_here(shares)
         (first,) = shares.take_deltas(1)
-        self.assertEqual(first.key, key_of_account(SMALL.id))
+        self.assertEqual(first.key, hash_account_id(SMALL.id))
         self.assertEqual((first.offered, first.admitted), (40, 25))
         self.assertEqual(shares.take_deltas(1), [])
 
--- a/tests/test_endpoints.py
+++ b/tests/test_endpoints.py
@@ -67,7 +67,7 @@
                 ids = [state.endpoint.id for state in served]
                 self.assertEqual(ids, ['stays'])
             fleet.set_own(EndpointId('leaves'), is_own=True)
-            self.assertEqual(list(fleet.own_of('demo')), [])
+            self.assertEqual(list(fleet.own_endpoints('demo')), [])
 
         run_paused(check)
 
--- a/tests/test_feasibility.py
+++ b/tests/test_feasibility.py
@@ -20,8 +20,8 @@
         await anyio.lowlevel.checkpoint()
         fleet, prices = make_fleet(1), PriceBook()
         if known:
-            fleet.take_report(make_report('e0', decode_interval_s=0.03))
-            prices.take(
+            fleet.apply_report(make_report('e0', decode_interval_s=0.03))
+            prices.update(
                 [
                     Price(
                         data_centre=DataCentreName('riga-1'),
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -196,8 +196,8 @@
             now = anyio.current_time()
             for name in ('d1', 'd2'):
                 load = group.load(name, 'e0')
-                self.assertGreaterEqual(load.look(now).occupied, 1)
-                self.assertGreater(load.look(now).backlog_s, 5)
+                self.assertGreaterEqual(load.estimate(now).occupied, 1)
+                self.assertGreater(load.estimate(now).backlog_s, 5)
 
         run_paused(group.run, check)
 
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -11,7 +11,7 @@
 from mimosamux_daemon.domain.outcomes import Reason, Refused
 from mimosamux_daemon.domain.vms import Market, Price
 from mimosamux_daemon.serving.fleet import Fleet, PromptWork
-from mimosamux_daemon.serving.load import Sent
+from mimosamux_daemon.serving.load import SentWork
 from mimosamux_daemon.serving.prefix_cache import hash_prompt
 from mimosamux_daemon.serving.prices import Distances, PriceBook
 from mimosamux_daemon.serving.routing import Choice, RoutingPolicy
@@ -43,8 +43,8 @@
     def test_queue_ahead_puts_an_endpoint_back(self):
         async def check():
             fleet = make_fleet(2)
-            fleet.take_report(make_report('e0', queued_prefill_tokens=9000))
-            fleet.take_report(make_report('e1'))
+            fleet.apply_report(make_report('e0', queued_prefill_tokens=9000))
+            fleet.apply_report(make_report('e1'))
             choice = make_router(fleet).choose(make_request())
             self.assertEqual(choice.endpoint.id, 'e1')
 
@@ -66,15 +66,15 @@
             await anyio.sleep(1)
             fleet.note_sent('e0', RequestId('b'), 1, work=work)
             await anyio.sleep(0.1)
-            fleet.take_report(
+            fleet.apply_report(
                 make_report('e0', queued_prefill_tokens=3000, running=4)
             )
             now = anyio.current_time()
             # 3000 at -0.5 s have drained to 0 when 2000 came at -0.1 s.
-            self.assertAlmostEqual(load.look(now).backlog_s, 0.1)
-            self.assertEqual(load.look(now).occupied, 5)
+            self.assertAlmostEqual(load.estimate(now).backlog_s, 0.1)
+            self.assertEqual(load.estimate(now).occupied, 5)
             fleet.note_finished('e0', RequestId('b'))
-            self.assertEqual(load.look(now).occupied, 4)
+            self.assertEqual(load.estimate(now).occupied, 4)
 
         run_paused(check)
 
@@ -83,24 +83,24 @@
 
         async def check():
             fleet = make_fleet(1)
-            self.assertTrue(fleet.take_report(make_report('e0', age_s=0.1)))
+            self.assertTrue(fleet.apply_report(make_report('e0', age_s=0.1)))
             late = make_report('e0', age_s=2.0, queued_prefill_tokens=99_000)
-            self.assertFalse(fleet.take_report(late))
+            self.assertFalse(fleet.apply_report(late))
 
         run_paused(check)
 
     def test_peers_are_taken_to_go_on_sending(self):
         async def check():
             fleet = make_fleet(1)
-            fleet.take_report(make_report('e0', age_s=0.5))
+            fleet.apply_report(make_report('e0', age_s=0.5))
             load = fleet.by_id[EndpointId('e0')].load
             now = anyio.current_time()
-            load.note_peer(Sent(at=now, tokens=30_000, requests=3))
+            load.note_peer(SentWork(at=now, tokens=30_000, requests=3))
             await anyio.sleep(0.5)
             after = anyio.current_time()
             # 3 s of work less 0.5 s done; 0.5 s of unseen sends more.
-            self.assertGreater(load.look(after).backlog_s, 2.6)
-            self.assertGreater(load.look(after).occupied, 3.3)
+            self.assertGreater(load.estimate(after).backlog_s, 2.6)
+            self.assertGreater(load.estimate(after).occupied, 3.3)
 
         run_paused(check)
 
@@ -128,8 +128,8 @@
     def test_full_slots_make_a_request_wait(self):
         async def check():
             fleet = make_fleet(2)
-            fleet.take_report(make_report('e0', running=16))
-            fleet.take_report(make_report('e1', running=15))
+            fleet.apply_report(make_report('e0', running=16))
+            fleet.apply_report(make_report('e1', running=15))
             choice = make_router(fleet).choose(make_request())
             self.assertEqual(choice.endpoint.id, 'e1')
 
@@ -153,7 +153,7 @@
             fleet = make_fleet(20)
             prompt = 'p' * 4_000
             fleet.cache.add(EndpointId('e7'), hash_prompt(prompt.encode()))
-            fleet.take_report(make_report('e7', queued_prefill_tokens=90_000))
+            fleet.apply_report(make_report('e7', queued_prefill_tokens=90_000))
             choice = make_router(fleet).choose(make_request(prompt))
             self.assertNotEqual(choice.endpoint.id, 'e7')
 
@@ -165,7 +165,7 @@
             fleet.add(make_endpoint('cheap'))
             fleet.add(make_endpoint('dear', market=Market.ON_DEMAND))
             prices = PriceBook()
-            prices.take(
+            prices.update(
                 [
                     price('riga-1', Market.RECLAIMABLE, 1.0),
                     price('riga-1', Market.ON_DEMAND, 3.0),
@@ -175,11 +175,13 @@
             router = make_router(
                 fleet, prices=prices, configuration=lambda: configuration
             )
-            fleet.take_report(make_report('cheap', queued_prefill_tokens=7000))
+            fleet.apply_report(
+                make_report('cheap', queued_prefill_tokens=7000)
+            )
             self.assertEqual(
                 router.choose(make_request()).endpoint.id, 'cheap'
             )
-            fleet.take_report(
+            fleet.apply_report(
                 make_report('cheap', age_s=0.0, queued_prefill_tokens=20_000)
             )
             self.assertEqual(router.choose(make_request()).endpoint.id, 'dear')
@@ -214,7 +216,7 @@
             prompt = 'p' * 8_000
             fleet.cache.add(EndpointId('dear'), hash_prompt(prompt.encode()))
             prices = PriceBook()
-            prices.take(
+            prices.update(
                 [
                     price('riga-1', Market.RECLAIMABLE, 1.0),
                     price('riga-1', Market.ON_DEMAND, 9.0),
@@ -238,7 +240,7 @@
         async def check():
             fleet = make_fleet(4)
             for number in range(4):
-                fleet.take_report(
+                fleet.apply_report(
                     make_report(f'e{number}', queued_prefill_tokens=60_000)
                 )
             router = make_router(fleet)
@@ -255,7 +257,7 @@
         async def check():
             fleet = make_fleet(40)
             for number in range(39):
-                fleet.take_report(
+                fleet.apply_report(
                     make_report(f'e{number}', queued_prefill_tokens=60_000)
                 )
             for seed in range(10):
@@ -388,7 +390,7 @@
         async def check():
             fleet = make_fleet(2)
             for name in ('e0', 'e1'):
-                fleet.take_report(make_report(name, **report))
+                fleet.apply_report(make_report(name, **report))
             return make_router(fleet).choose(make_request('x' * 160_000))
 
         return run_paused(check)
