--- a/packages/mimosamux-daemon/mimosamux_daemon/control/discovery.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/control/discovery.py
@@ -1,8 +1,8 @@
 """Selects the daemon addresses that callers should use.
 
-There is no load balancer in front of the daemons. These answers balance
-callers over the daemons and direct callers away from a stopping daemon or
-a lost data centre.
+There is no load balancer in front of the daemons. These answers spread
+callers over the daemons and direct them away from a stopping daemon or a
+lost data centre.
 """
 
 from dataclasses import dataclass
@@ -82,10 +82,11 @@
 
     @property
     def drained_at(self) -> float | None:
-        """Time (`anyio.current_time`) when the last answer here expires.
+        """Time at which the last answer with this daemon's address expires.
 
-        Until then callers with an older answer still open connections to
-        this daemon, and it has to serve them. None if it is not leaving.
+        By `anyio.current_time`; None if the daemon is not leaving. Until
+        then callers with an older answer still open connections to this
+        daemon, and it has to serve them.
         """
         left_at = self._membership.left_at
         if left_at is None:
--- a/packages/mimosamux-daemon/mimosamux_daemon/control/endpoints.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/control/endpoints.py
@@ -26,6 +26,7 @@
 log = get_log('endpoints')
 
 NOTIFY_TIMEOUT_S = 1.0
+"""Time-out of a notification to one peer."""
 LIST_BYTES_PER_VM = 241
 """Bytes per VM in a list over HTTP (`python -m benchmarks owner`)."""
 
@@ -55,12 +56,12 @@
     leaving_s: float = 30.0
     """Assumed time left of a VM listed as leaving without a notice."""
     left_retention_s: float = 600.0
-    """Time for which lists cannot add a VM again that has left."""
+    """Time for which a VM that has left is not added again from a list."""
 
 
 @dataclass(kw_only=True, slots=True)
 class MissingVM:
-    """Start and number of the consecutive lists that a VM is missing from."""
+    """Consecutive lists without a VM: time of the first, and number."""
 
     since: float
     lists: int = 0
--- a/packages/mimosamux-daemon/mimosamux_daemon/control/handover_targets.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/control/handover_targets.py
@@ -8,7 +8,7 @@
 from mimosamux_daemon.serving.handover import HandoverTarget
 
 
-class MembershipTargets:
+class MembershipHandoverTargets:
     """Ready daemons, nearest data centre first, spread by client account."""
 
     def __init__(self, *, membership: Membership) -> None:
--- a/packages/mimosamux-daemon/mimosamux_daemon/control/journal_claims.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/control/journal_claims.py
@@ -70,7 +70,7 @@
                 next_sweep_at = anyio.current_time() + self._sweep_interval_s()
 
     async def sweep(self) -> None:
-        """Claim the requests of every dead daemon with journal rows."""
+        """Claim requests of all dead daemons that have journal rows."""
         after = ''
         while True:
             rows = await self._table.scan(JOURNAL_PREFIX, after=after, limit=1)
--- a/packages/mimosamux-daemon/mimosamux_daemon/control/leases.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/control/leases.py
@@ -48,6 +48,7 @@
     """Additional wait where an endpoint ignores fencing tokens: longer than
     an order of the former holder can be in flight."""
     call_timeout_s: float = 2.0
+    """Time-out of a call to the table."""
     restart_ends_lease: bool = False
     """Whether a new process under the holder's id proves that the former
     one has ended. This holds where the id is an address on which both
--- a/packages/mimosamux-daemon/mimosamux_daemon/control/member_view.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/control/member_view.py
@@ -77,7 +77,7 @@
         )
 
     def recently_gone(self) -> tuple[DaemonId, ...]:
-        """Return the daemons of this data centre that are recently gone."""
+        """Return local daemons that failure detection removed recently."""
         return tuple(self._gone_by_id)
 
     def members(self, data_centre: DataCentreName) -> tuple[DaemonId, ...]:
@@ -171,7 +171,10 @@
         return tuple(target for target in targets if target is not None)
 
     def is_poller(self) -> bool:
-        """Return whether this daemon polls on behalf of its data centre."""
+        """Return whether this daemon polls for its data centre.
+
+        The poller is the live local daemon with the highest rank.
+        """
         ranked = rank(self._live_local_daemons(), f'poller {self.data_centre}')
         return ranked[0] == self.daemon
 
@@ -180,7 +183,7 @@
         self._listeners.append(listener)
 
     async def wait_for_change(self, seen: int) -> int:
-        """Wait until `changes` exceeds `seen`; return it."""
+        """Wait until `changes` exceeds `seen`; return its value."""
         while self.changes <= seen:
             await self._changed.wait()
         return self.changes
--- a/packages/mimosamux-daemon/mimosamux_daemon/control/members.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/control/members.py
@@ -1,7 +1,7 @@
 """State of other daemons and data centres, without I/O.
 
-Daemons are suspected once their heartbeats stay out for longer than the
-usual interval and its deviation explain.
+A daemon is suspected when no heartbeat has arrived for a time that is
+derived from the mean and the deviation of its heartbeat intervals.
 """
 
 import math
@@ -15,7 +15,9 @@
 from mimosamux_daemon.domain.names import DaemonId, DataCentreName
 
 SUSPECT_MIN_S = 3.0
+"""Minimum time without a heartbeat after which a daemon is suspected."""
 SUSPECT_MAX_S = 10.0
+"""Maximum time without a heartbeat after which a daemon is suspected."""
 EXPECTED_DEVIATIONS = 4.0
 """The longest expected heartbeat interval is the mean plus this many
 deviations; a daemon is suspected after twice that interval."""
@@ -26,12 +28,13 @@
 GONE_AFTER_S = 10.0
 """A daemon that has been suspected for this long counts as gone."""
 REMOTE_STALE_S = 8.0
-"""All daemons of a data centre whose newest summary is older than this are
-suspected."""
+"""Age of the newest summary of a data centre from which all daemons there
+are suspected."""
 MIN_FETCH_INTERVAL_S = 1.0
 """Minimum time between two fetches of the members of a data centre."""
 LINKS_PER_DATA_CENTRE = 2
-"""Daemons of this data centre that exchange summaries with each other one."""
+"""Number of daemons of this data centre that exchange summaries with each
+other data centre."""
 
 
 class MemberState(IntEnum):
@@ -79,9 +82,9 @@
         return MemberState.SUSPECTED if self.is_suspected else self.state
 
     def record_heartbeat(self, now: float) -> None:
-        """Record a heartbeat; it ends a suspicion.
+        """Record a heartbeat and clear the suspicion.
 
-        The interval that spans a suspicion is not averaged.
+        An interval in which the daemon was suspected is not averaged.
         """
         if not self.is_suspected:
             observed_s = now - self.last_seen_at
--- a/packages/mimosamux-daemon/mimosamux_daemon/control/membership.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/control/membership.py
@@ -46,7 +46,7 @@
 CHECK_INTERVAL_S = 0.5
 """Interval of the checks for missing heartbeats."""
 MIN_PAUSE_S = 1.0
-"""A check delayed by more than this means that this daemon was suspended."""
+"""A check delayed by more than this means that this process was paused."""
 SEED_INTERVAL_S = 5.0
 """Mean interval at which a joined daemon contacts one unreachable seed."""
 JOIN_ROUNDS = 2
@@ -54,6 +54,7 @@
 MAX_SEEDS_PER_ROUND = 16
 """Maximum number of seeds that a round contacts, all concurrently."""
 CALL_TIMEOUT_S = 2.0
+"""Time-out of a summary exchange or a fetch."""
 UNREACHABLE_S = 6.0
 """Time for which a remote peer that did not answer is avoided."""
 GONE_RETENTION_S = 600.0
@@ -192,7 +193,7 @@
             self._update_suspicions(now)
 
     def _compensate_pause(self, pause_s: float) -> None:
-        # While suspended, this daemon received no heartbeats. Without this
+        # While paused, this process received no heartbeats. Without this
         # correction it would suspect all daemons at once on resuming.
         log.warning('was_paused', seconds=round(pause_s, 3))
         for member in self._members_by_id.values():
@@ -249,8 +250,8 @@
             return
         now = anyio.current_time()
         if member.is_suspected:
-            # Notify the daemon that it was suspected: it may only have
-            # been suspended and hold something that others took over.
+            # Tell the daemon that it was suspected: its process may only
+            # have been paused and hold something that others took over.
             await self._peers.notify(sender, self._heartbeat())
             log.info('back', peer=sender)
             self._record_change()
--- a/packages/mimosamux-daemon/mimosamux_daemon/control/ownership.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/control/ownership.py
@@ -80,7 +80,7 @@
         metrics: Metrics | None = None,
         shares: FairShares | None = None,
     ) -> None:
-        """Set up the watches and register the digest handlers.
+        """Register the digest handlers.
 
         `group` returns the data centres whose daemons exchange digests; by
         default that is only this daemon's own. A small system groups all
--- a/packages/mimosamux-daemon/mimosamux_daemon/serving_parts.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/serving_parts.py
@@ -7,7 +7,7 @@
 import anyio.abc
 
 from mimosamux_daemon.control.endpoints import EndpointPoller
-from mimosamux_daemon.control.handover_targets import MembershipTargets
+from mimosamux_daemon.control.handover_targets import MembershipHandoverTargets
 from mimosamux_daemon.control.journal_claims import JournalClaims
 from mimosamux_daemon.control.one_way_delays import OneWayDelays
 from mimosamux_daemon.control.ownership import Ownership
@@ -58,7 +58,7 @@
     journal: Journal
     claims: JournalClaims
     handover: Handover
-    targets: MembershipTargets
+    targets: MembershipHandoverTargets
     keeper: EndpointPoller
     ownership: Ownership
 
@@ -124,7 +124,7 @@
         router=router,
         wall_clock=wall_clock,
     )
-    targets = MembershipTargets(membership=membership)
+    targets = MembershipHandoverTargets(membership=membership)
     return ServingParts(
         fleet=fleet,
         prices=prices,
