--- a/benchmarks/bench_planner.py
+++ b/benchmarks/bench_planner.py
@@ -11,7 +11,7 @@
     make_plan,
 )
 from mimosamux_daemon.control.planning_exchange import make_summary
-from mimosamux_daemon.control.steps import World, find_steps
+from mimosamux_daemon.control.steps import ObservedState, compute_steps
 from mimosamux_daemon.domain.names import (
     ClassName,
     DataCentreName,
@@ -98,7 +98,7 @@
         planned = time.perf_counter()
         world = _make_world(names[0], plan, known)
         ready = time.perf_counter()
-        find_steps(plan, world, configuration, PlanningPolicy())
+        compute_steps(plan, world, configuration, PlanningPolicy())
         plan_s += planned - began
         steps_s += time.perf_counter() - ready
     summary = make_summary(
@@ -167,7 +167,7 @@
 
 def _make_world(
     data_centre: DataCentreName, plan: Plan, known: PlanInput
-) -> World:
+) -> ObservedState:
     own = tuple(
         VMOrder(
             id=f'{offer.machine_class}-{offer.market}-{number}',
@@ -184,7 +184,7 @@
         if offer.data_centre == data_centre
         for number in range(count)
     )
-    return World(
+    return ObservedState(
         data_centre=data_centre,
         own=own,
         live=frozenset(order.id for order in own),
--- a/benchmarks/decisions/day.py
+++ b/benchmarks/decisions/day.py
@@ -28,7 +28,7 @@
 from mimosamux_daemon.control.endpoints import EndpointPoller, PollPolicy
 from mimosamux_daemon.control.planner import PlannerPolicy
 from mimosamux_daemon.control.planning import PlanningPolicy
-from mimosamux_daemon.control.planning_exchange import PlanningNews
+from mimosamux_daemon.control.planning_exchange import PlanningView
 from mimosamux_daemon.domain.engine import LoadReport
 from mimosamux_daemon.domain.names import (
     AccountId,
@@ -225,7 +225,7 @@
         # One daemon meets the whole demand and tells the planners.
         is_first = name == DATA_CENTRES[0]
         peers = self.network.join(DaemonId(name))
-        news = PlanningNews(
+        planning_view = PlanningView(
             data_centre=DataCentreName(name),
             meter=self.meter if is_first else DemandMeter(),
             ceilings=Ceilings(randomness=random.Random(3)),
@@ -249,12 +249,12 @@
                 weights=MemoryWeightStore(),
                 peers=peers,
             ),
-            news=news,
+            planning_view=planning_view,
             drains=self,
             configuration=lambda: self.configuration,
             wall_clock=lambda: 0.0,
             randomness=random.Random(4),
-            reports=lambda: [
+            load_reports=lambda: [
                 (state.endpoint, state.report)
                 for state in self.fleet.by_id.values()
             ],
@@ -262,7 +262,7 @@
                 planner=PlannerPolicy(
                     interval_s=5.0,
                     notice_poll_s=1.0,
-                    settle_s=2.0,
+                    demand_collection_s=2.0,
                     demand=self.tuning.demand,
                     planning=self._planning(),
                 )
--- a/packages/mimosamux-daemon/mimosamux_daemon/control/build_planner.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/control/build_planner.py
@@ -9,13 +9,17 @@
 from mimosamux_daemon.control.lease_keeper import LeaseKeeper
 from mimosamux_daemon.control.leases import LeasePolicy, LeaseTable
 from mimosamux_daemon.control.order_rows import VMOrder
-from mimosamux_daemon.control.orders import OrderParts, OrderPolicy
-from mimosamux_daemon.control.planner import Planner, PlannerPolicy, Reports
+from mimosamux_daemon.control.orders import OrderDependencies, OrderPolicy
+from mimosamux_daemon.control.planner import (
+    LoadReports,
+    Planner,
+    PlannerPolicy,
+)
 from mimosamux_daemon.control.planning_exchange import (
     PlanningExchange,
-    PlanningNews,
+    PlanningView,
 )
-from mimosamux_daemon.control.rates import RateBook
+from mimosamux_daemon.control.rates import RateEstimates
 from mimosamux_daemon.control.weight_queue import WeightQueue
 from mimosamux_daemon.domain.configuration import Configuration
 from mimosamux_daemon.domain.names import DaemonId, DataCentreName
@@ -65,12 +69,12 @@
     *,
     site: PlannerSite,
     ports: PlannerPorts,
-    news: PlanningNews,
+    planning_view: PlanningView,
     drains: EndpointDrainer,
     configuration: Callable[[], Configuration],
     wall_clock: Callable[[], float],
     randomness: random.Random,
-    reports: Reports = tuple,
+    load_reports: LoadReports = tuple,
     on_ready: Callable[[VMOrder], None] = lambda _: None,
     policies: PlannerPolicies | None = None,
 ) -> Planner:
@@ -94,7 +98,7 @@
         randomness=randomness,
         fencing_is_honoured=all_check_fencing,
     )
-    parts = OrderParts(
+    dependencies = OrderDependencies(
         cloud=ports.cloud,
         engines=ports.engines,
         drains=drains,
@@ -109,7 +113,7 @@
     )
     exchange = PlanningExchange(
         daemon=site.daemon,
-        news=news,
+        planning_view=planning_view,
         peers=ports.peers,
         own_daemons=site.own_daemons,
         other_daemons=site.other_daemons,
@@ -120,11 +124,11 @@
         daemon=site.daemon,
         keeper=keeper,
         table=ports.table,
-        parts=parts,
+        dependencies=dependencies,
         exchange=exchange,
-        rates=RateBook(),
+        rates=RateEstimates(),
         configuration=configuration,
         wall_clock=wall_clock,
-        reports=reports,
+        load_reports=load_reports,
         policy=policies.planner,
     )
--- a/packages/mimosamux-daemon/mimosamux_daemon/control/capacity.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/control/capacity.py
@@ -48,7 +48,7 @@
     is_guaranteed_after_loss: bool
 
 
-def find_need(
+def compute_need(
     demands: Sequence[ClassDemand],
     classes: Mapping[ClassName, WorkClass],
     rate: ServiceRate,
--- a/packages/mimosamux-daemon/mimosamux_daemon/control/ceilings.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/control/ceilings.py
@@ -19,7 +19,7 @@
         """Return the classes above their cost ceiling, for operators."""
         return tuple(self._shortfalls_by_class.values())
 
-    def take(self, shortfalls: Iterable[CeilingShortfall]) -> None:
+    def update(self, shortfalls: Iterable[CeilingShortfall]) -> None:
         """Put the shortfalls of a new plan in force."""
         self._shortfalls_by_class = {
             shortfall.work_class: shortfall for shortfall in shortfalls
--- a/packages/mimosamux-daemon/mimosamux_daemon/control/demand.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/control/demand.py
@@ -30,7 +30,7 @@
     """Time constant with which the forecast approaches a higher rate."""
     hold_s: float = 600.0
     """Time for which the rate has to be lower before the forecast falls."""
-    spare_share: float = 0.15
+    fall_margin: float = 0.15
     """Fraction by which the forecast has to exceed the highest rate of the
     hold time before it falls."""
     mean_weight: float = 0.05
@@ -187,7 +187,7 @@
         if item.requests_per_s > forecast.rate:
             share = 1.0 - math.exp(-elapsed_s / self._policy.rise_s)
             forecast.rate += share * (item.requests_per_s - forecast.rate)
-        elif highest * (1.0 + self._policy.spare_share) < forecast.rate:
+        elif highest * (1.0 + self._policy.fall_margin) < forecast.rate:
             forecast.rate = highest
         return forecast.rate
 
--- a/packages/mimosamux-daemon/mimosamux_daemon/control/orders.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/control/orders.py
@@ -84,7 +84,7 @@
 
 
 @dataclass(kw_only=True)
-class OrderParts:
+class OrderDependencies:
     """Dependencies of `Orders` that outlive a lease."""
 
     cloud: Cloud
@@ -107,13 +107,13 @@
         self,
         *,
         data_centre: DataCentreName,
-        parts: OrderParts,
+        dependencies: OrderDependencies,
         rows: OrderRows,
         lease: Lease,
         tasks: anyio.abc.TaskGroup,
     ) -> None:
         self._data_centre = data_centre
-        self._parts = parts
+        self._dependencies = dependencies
         self._rows = rows
         self._lease = lease
         self._tasks = tasks
@@ -147,7 +147,7 @@
             and vm.state is VMState.LIVE
         )
 
-    async def settle(
+    async def reconcile(
         self, vms: Sequence[VM], list_requested_at: float
     ) -> bool:
         """Reconcile the orders with the list of VMs.
@@ -294,10 +294,10 @@
         tracked.missed_lists += 1
         is_past_list_lag = (
             list_requested_at - tracked.last_sent_at
-            > self._parts.policy.list_lag_bound_s
+            > self._dependencies.policy.list_lag_bound_s
         )
         is_missing = (
-            tracked.missed_lists >= self._parts.policy.gone_after_lists
+            tracked.missed_lists >= self._dependencies.policy.gone_after_lists
         )
         if tracked.is_busy and order.state is OrderState.INTENDED:
             return None
@@ -322,14 +322,14 @@
                 order.state in (OrderState.STARTED, OrderState.LOADING)
                 and vm is not None
                 and vm.state is VMState.LIVE
-                and order.model in self._parts.configuration().models
+                and order.model in self._dependencies.configuration().models
             ):
                 tracked.is_busy = True
                 self._tasks.start_soon(self._load_when_free, tracked, vm)
 
     def _new_order(self, wanted: WantedVM) -> VMOrder:
         self._order_count += 1
-        unique = self._parts.randomness.randbytes(4).hex()
+        unique = self._dependencies.randomness.randbytes(4).hex()
         name = f'{self._data_centre}-{self._lease.fencing}-{self._order_count}'
         return VMOrder(
             id=f'{name}-{unique}',
@@ -348,8 +348,8 @@
         outcome = Unavailable(reason='timeout', may_have_landed=True)
         if not self._lease.is_valid():
             return
-        with anyio.move_on_after(self._parts.policy.call_timeout_s):
-            outcome = await self._parts.cloud.start_vm(
+        with anyio.move_on_after(self._dependencies.policy.call_timeout_s):
+            outcome = await self._dependencies.cloud.start_vm(
                 StartVM(
                     order_id=order.id,
                     data_centre=order.data_centre,
@@ -363,12 +363,12 @@
         tracked.is_busy = False
         log.info('vm_ordered', order=order.id, outcome=type(outcome).__name__)
         if isinstance(outcome, VM):
-            self._parts.backoff.note_started(order.offer)
+            self._dependencies.backoff.note_started(order.offer)
             tracked.order = _with_vm(order, outcome)
         elif isinstance(outcome, StartRefused):
-            self._parts.backoff.note_refused(order.offer)
+            self._dependencies.backoff.note_refused(order.offer)
             await self._delete_order(tracked, 'start refused')
-            self._parts.on_refused()
+            self._dependencies.on_refused()
         elif not outcome.may_have_landed:
             await self._delete_order(tracked, 'cloud did not answer')
 
@@ -381,11 +381,11 @@
             self._by_id.pop(order.id, None)
 
     async def _load_when_free(self, tracked: TrackedOrder, vm: VM) -> None:
-        models = self._parts.configuration().models
+        models = self._dependencies.configuration().models
         try:
             spec = models.get(tracked.order.model)
             if spec is not None:
-                async with self._parts.weights.reserve_load(spec):
+                async with self._dependencies.weights.reserve_load(spec):
                     await self._load_model(tracked, vm, spec)
         finally:
             tracked.is_busy = False
@@ -413,7 +413,7 @@
         )
         if not self._lease.is_valid():
             return
-        outcome = await self._parts.engines.order(
+        outcome = await self._dependencies.engines.order(
             _as_endpoint(vm, spec), engine_order
         )
         if isinstance(outcome, OrderRefused):
@@ -430,22 +430,26 @@
         order = tracked.order.with_state(OrderState.READY)
         if await self._write_changes([OrderChange(order=order)]):
             tracked.order = order
-            self._parts.on_ready(order)
+            self._dependencies.on_ready(order)
 
     async def _stop_vm(self, tracked: TrackedOrder) -> None:
         try:
-            await self._parts.drains.drain(EndpointId(tracked.order.vm))
+            await self._dependencies.drains.drain(EndpointId(tracked.order.vm))
             while self._lease.is_valid():
                 outcome: None | Unavailable
                 outcome = Unavailable(reason='timeout', may_have_landed=True)
-                with anyio.move_on_after(self._parts.policy.call_timeout_s):
-                    outcome = await self._parts.cloud.stop_vm(tracked.order.vm)
+                with anyio.move_on_after(
+                    self._dependencies.policy.call_timeout_s
+                ):
+                    outcome = await self._dependencies.cloud.stop_vm(
+                        tracked.order.vm
+                    )
                 if outcome is None:
                     break
-                await anyio.sleep(self._parts.policy.retry_s)
+                await anyio.sleep(self._dependencies.policy.retry_s)
             # The lagging list still shows the VM; staying busy for the
             # maximum lag avoids a redundant stop call at each list.
-            await anyio.sleep(self._parts.policy.list_lag_bound_s)
+            await anyio.sleep(self._dependencies.policy.list_lag_bound_s)
         finally:
             tracked.is_busy = False
 
--- a/packages/mimosamux-daemon/mimosamux_daemon/control/placement.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/control/placement.py
@@ -104,7 +104,7 @@
     )
 
 
-def find_survivors(
+def compute_survivors(
     counts: Mapping[Offer, int],
     weights: Mapping[str, float],
     policy: PlacementPolicy,
--- a/packages/mimosamux-daemon/mimosamux_daemon/control/planner.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/control/planner.py
@@ -17,7 +17,7 @@
 from mimosamux_daemon.control.lease_keeper import LeaseKeeper
 from mimosamux_daemon.control.leases import Lease
 from mimosamux_daemon.control.order_rows import OrderRows, VMOrder
-from mimosamux_daemon.control.orders import OrderParts, Orders
+from mimosamux_daemon.control.orders import OrderDependencies, Orders
 from mimosamux_daemon.control.planning import (
     PlanInput,
     PlanningPolicy,
@@ -27,8 +27,12 @@
     PlanningExchange,
     make_summary,
 )
-from mimosamux_daemon.control.rates import RateBook
-from mimosamux_daemon.control.steps import Steps, World, find_steps
+from mimosamux_daemon.control.rates import RateEstimates
+from mimosamux_daemon.control.steps import (
+    ObservedState,
+    PlanSteps,
+    compute_steps,
+)
 from mimosamux_daemon.domain.configuration import Configuration
 from mimosamux_daemon.domain.engine import LoadReport
 from mimosamux_daemon.domain.names import (
@@ -53,7 +57,7 @@
 
 log = get_log('planner')
 
-Reports = Callable[[], Sequence[tuple[Endpoint, LoadReport | None]]]
+LoadReports = Callable[[], Sequence[tuple[Endpoint, LoadReport | None]]]
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -64,7 +68,7 @@
     """Longest time between two planning rounds."""
     notice_poll_s: float = 1.0
     """Interval of polling for reclaim notices."""
-    settle_s: float = 10.0
+    demand_collection_s: float = 10.0
     """Time for which a new lease holder collects demand before it starts
     or stops VMs."""
     call_timeout_s: float = 2.0
@@ -93,12 +97,12 @@
         daemon: DaemonId,
         keeper: LeaseKeeper,
         table: Table,
-        parts: OrderParts,
+        dependencies: OrderDependencies,
         exchange: PlanningExchange,
-        rates: RateBook,
+        rates: RateEstimates,
         configuration: Callable[[], Configuration],
         wall_clock: Callable[[], float],
-        reports: Reports = tuple,
+        load_reports: LoadReports = tuple,
         policy: PlannerPolicy | None = None,
     ) -> None:
         self.plan = Plan()
@@ -106,13 +110,13 @@
         self._daemon = daemon
         self._keeper = keeper
         self._table = table
-        self._parts = parts
-        self._cloud: Cloud = parts.cloud
+        self._dependencies = dependencies
+        self._cloud: Cloud = dependencies.cloud
         self._exchange = exchange
         self._rates = rates
         self._configuration = configuration
         self._wall_clock = wall_clock
-        self._reports = reports
+        self._load_reports = load_reports
         self._policy = policy or PlannerPolicy()
         self._prices: dict[Offer, float] = {}
         self._summary_sequence = 0
@@ -120,7 +124,7 @@
         # When the cloud refuses a VM in one data centre, the others have
         # to start a replacement. Planning at once, not at the next
         # interval, shortens the time for which targets are missed.
-        parts.on_refused = self.wake
+        dependencies.on_refused = self.wake
         exchange.set_change_callback(self.wake)
 
     @property
@@ -139,11 +143,11 @@
     async def _plan_under_lease(self, lease: Lease) -> None:
         forecast = Forecast(policy=self._policy.demand)
         forecast.seed(self._exchange.previous_forecast())
-        can_order_at = anyio.current_time() + self._policy.settle_s
+        can_order_at = anyio.current_time() + self._policy.demand_collection_s
         async with anyio.create_task_group() as tasks:
             orders = Orders(
                 data_centre=self._data_centre,
-                parts=self._parts,
+                dependencies=self._dependencies,
                 rows=OrderRows(
                     table=self._table,
                     data_centre=self._data_centre,
@@ -177,11 +181,11 @@
         own_vms = [
             vm for vm in snapshot.vms if vm.data_centre == self._data_centre
         ]
-        can_order &= await orders.settle(own_vms, snapshot.requested_at)
-        self._rates.add_reports(self._reports())
+        can_order &= await orders.reconcile(own_vms, snapshot.requested_at)
+        self._rates.add_reports(self._load_reports())
         counts = count_own(orders, snapshot, own_vms)
         await self._exchange_summary(orders, lease, demands, counts)
-        world = self._build_observed_state(orders, snapshot, counts)
+        state = self._build_observed_state(orders, snapshot, counts)
         self.plan = make_plan(
             PlanInput(
                 configuration=self._configuration(),
@@ -191,20 +195,20 @@
                     **self._rates.current,
                 },
                 prices=self._prices,
-                running=world.running,
-                refused=self._parts.backoff.suspended()
+                running=state.running,
+                refused=self._dependencies.backoff.suspended()
                 | self._exchange.remote_refused_offers(),
             ),
             self._policy.planning,
         )
         if not can_order or not self._configuration().version:
             return
-        steps = find_steps(
-            self.plan, world, self._configuration(), self._policy.planning
+        steps = compute_steps(
+            self.plan, state, self._configuration(), self._policy.planning
         )
         await self._carry_out(orders, steps)
 
-    async def _carry_out(self, orders: Orders, steps: Steps) -> None:
+    async def _carry_out(self, orders: Orders, steps: PlanSteps) -> None:
         if steps.starts or steps.stops:
             log.info(
                 'plan_changed',
@@ -230,7 +234,7 @@
             sequence=self._summary_sequence,
             demands=demands,
             rates=self._rates.current,
-            refused=self._parts.backoff.suspended(),
+            refused=self._dependencies.backoff.suspended(),
             stopping=orders.stopping(),
             counts=counts,
         )
@@ -294,7 +298,7 @@
         orders: Orders,
         snapshot: CloudSnapshot,
         own_counts: Sequence[OfferCount],
-    ) -> World:
+    ) -> ObservedState:
         own = _own_orders(orders, snapshot)
         reported_counts = self._exchange.remote_counts()
         stopping = self._exchange.remote_stopping_vms()
@@ -310,7 +314,7 @@
             *_count_listed(listed, stopping),
             *(item for items in reported_counts.values() for item in items),
         ]
-        return World(
+        return ObservedState(
             data_centre=self._data_centre,
             own=tuple(own),
             live=frozenset(order.id for order in own if orders.is_live(order)),
--- a/packages/mimosamux-daemon/mimosamux_daemon/control/planning.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/control/planning.py
@@ -10,8 +10,8 @@
 
 from mimosamux_daemon.control.capacity import (
     CapacityPolicy,
+    compute_need,
     compute_offered_load,
-    find_need,
 )
 from mimosamux_daemon.control.placement import (
     Placement,
@@ -154,7 +154,7 @@
         admitted_shares.get(item.work_class) == 0.0 for item in demands
     ):
         return Need(normal=0.0, after_loss=0.0)
-    return find_need(
+    return compute_need(
         demands,
         inputs.configuration.classes,
         _reference_rate(inputs, spec),
--- a/packages/mimosamux-daemon/mimosamux_daemon/control/planning_exchange.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/control/planning_exchange.py
@@ -65,7 +65,7 @@
     received_at: float
 
 
-class PlanningNews:
+class PlanningView:
     """A daemon's view of planning, whether or not it is the planner.
 
     It keeps the newest summary of each data centre, and puts the ceiling
@@ -125,7 +125,7 @@
         own = self.latest_own_summary
         if own is None or _version(message.summary) >= _version(own):
             self.latest_own_summary = message.summary
-            self.ceilings.take(map(_as_shortfall, message.shortfalls))
+            self.ceilings.update(map(_as_shortfall, message.shortfalls))
         unforwarded, self._unforwarded = self._unforwarded, set()
         return DemandTold(
             demands=[_as_record(item) for item in self.meter.current()],
@@ -148,7 +148,7 @@
         self,
         *,
         daemon: DaemonId,
-        news: PlanningNews,
+        planning_view: PlanningView,
         peers: Peers | None,
         own_daemons: Callable[[], Iterable[DaemonId]],
         other_daemons: Callable[
@@ -157,7 +157,7 @@
         randomness: random.Random,
     ) -> None:
         self._daemon = daemon
-        self._news = news
+        self._planning_view = planning_view
         self._peers = peers
         self._own_daemons = own_daemons
         self._other_daemons = other_daemons
@@ -168,7 +168,7 @@
 
     def set_change_callback(self, action: Callable[[], None]) -> None:
         """Set the callback for VMs lost or refused in other data centres."""
-        self._news.on_capacity_change = action
+        self._planning_view.on_capacity_change = action
 
     async def exchange(
         self,
@@ -177,7 +177,7 @@
     ) -> None:
         """Send the summary and the shortfalls, and collect demand."""
         shortfalls = tuple(shortfalls)
-        self._news.ceilings.take(shortfalls)
+        self._planning_view.ceilings.update(shortfalls)
         if self._peers is None:
             return
         plan = PlanTold(
@@ -205,12 +205,12 @@
             for received_at, demands in self._demand_by_daemon.values()
             if now - received_at <= DAEMON_DEMAND_TTL_S
         ]
-        unexpired.append(self._news.meter.current())
+        unexpired.append(self._planning_view.meter.current())
         return sum_demands(item for demands in unexpired for item in demands)
 
     def previous_forecast(self) -> tuple[ClassDemand, ...]:
         """Return the last forecast that a planner sent to this daemon."""
-        summary = self._news.latest_own_summary
+        summary = self._planning_view.latest_own_summary
         records = summary.demands if summary else []
         return tuple(_as_demand(record) for record in records)
 
@@ -220,7 +220,7 @@
         """Add the forecasts of the other data centres to the own one."""
         remote = [
             _as_demand(record)
-            for summary in self._news.current_summaries()
+            for summary in self._planning_view.current_summaries()
             for record in summary.demands
         ]
         return sum_demands([*own, *remote])
@@ -233,7 +233,7 @@
                 machine_class=record.machine_class,
                 market=Market(record.market),
             )
-            for summary in self._news.current_summaries()
+            for summary in self._planning_view.current_summaries()
             for record in summary.refused
         )
 
@@ -241,7 +241,7 @@
         """Return the VMs that other planners are draining."""
         return frozenset(
             VMId(vm)
-            for summary in self._news.current_summaries()
+            for summary in self._planning_view.current_summaries()
             for vm in summary.stopping
         )
 
@@ -255,7 +255,7 @@
                 _as_count(DataCentreName(name), record)
                 for record in received.summary.counts
             )
-            for name, received in self._news.by_data_centre.items()
+            for name, received in self._planning_view.by_data_centre.items()
             if now - received.received_at <= COUNTS_TTL_S
         }
 
@@ -267,7 +267,7 @@
                 decode_interval_s=record.decode_interval_s,
                 slots=record.slots,
             )
-            for summary in self._news.current_summaries()
+            for summary in self._planning_view.current_summaries()
             for record in summary.rates
         }
 
@@ -280,7 +280,7 @@
         demands = tuple(_as_demand(record) for record in answer.demands)
         self._demand_by_daemon[daemon] = (anyio.current_time(), demands)
         for summary in answer.summaries:
-            self._news.merge_summary(summary)
+            self._planning_view.merge_summary(summary)
 
 
 def make_summary(
--- a/packages/mimosamux-daemon/mimosamux_daemon/control/platform_seeds.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/control/platform_seeds.py
@@ -27,16 +27,16 @@
         *,
         cloud: Cloud,
         data_centre: DataCentreName,
-        fixed: tuple[PeerAddress, ...],
+        configured: tuple[PeerAddress, ...],
     ) -> None:
         self._cloud = cloud
         self._data_centre = data_centre
-        self._fixed = fixed
+        self._configured = configured
         self._listed: tuple[PeerAddress, ...] = ()
 
     def current(self) -> tuple[PeerAddress, ...]:
         """Return all known seeds."""
-        return (*self._fixed, *self._listed)
+        return (*self._configured, *self._listed)
 
     async def run(self) -> None:
         """Refresh the platform's list periodically until cancelled."""
--- a/packages/mimosamux-daemon/mimosamux_daemon/control/rates.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/control/rates.py
@@ -14,7 +14,7 @@
 """Model and machine class."""
 
 
-class RateBook:
+class RateEstimates:
     """Exponential moving averages of rates by model and machine class."""
 
     def __init__(self) -> None:
--- a/packages/mimosamux-daemon/mimosamux_daemon/control/steps.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/control/steps.py
@@ -11,7 +11,7 @@
 
 from mimosamux_daemon.control.order_rows import VMOrder
 from mimosamux_daemon.control.orders import WantedVM
-from mimosamux_daemon.control.placement import find_survivors
+from mimosamux_daemon.control.placement import compute_survivors
 from mimosamux_daemon.control.planning import PlanningPolicy
 from mimosamux_daemon.domain.configuration import Configuration
 from mimosamux_daemon.domain.names import DataCentreName, ModelName
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class World:
+class ObservedState:
     """The VMs of all data centres, as a planner observes them."""
 
     data_centre: DataCentreName
@@ -47,7 +47,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Steps:
+class PlanSteps:
     """VMs to start and to stop in one planning round."""
 
     starts: tuple[WantedVM, ...] = ()
@@ -55,21 +55,21 @@
     stop_reason: str = 'not needed by the plan'
 
 
-def find_steps(
+def compute_steps(
     plan: Plan,
-    world: World,
+    state: ObservedState,
     configuration: Configuration,
     policy: PlanningPolicy,
-) -> Steps:
+) -> PlanSteps:
     """Compute the next starts and stops towards the plan."""
-    return Steps(
-        starts=tuple(_select_starts(plan, world, configuration)),
-        stops=tuple(_select_stops(plan, world, configuration, policy)),
+    return PlanSteps(
+        starts=tuple(_select_starts(plan, state, configuration)),
+        stops=tuple(_select_stops(plan, state, configuration, policy)),
     )
 
 
 def _select_starts(
-    plan: Plan, world: World, configuration: Configuration
+    plan: Plan, state: ObservedState, configuration: Configuration
 ) -> Iterator[WantedVM]:
     """Return the missing VMs here that fit within the ceilings.
 
@@ -78,38 +78,38 @@
     Planners that start VMs at the same time would otherwise exceed the
     budget together.
     """
-    remaining_budget = find_headroom(world, configuration)
+    remaining_budget = find_headroom(state, configuration)
     started = 0
-    for candidate in _list_missing(plan, world, configuration):
-        remaining_budget -= world.prices[candidate.offer]
+    for candidate in _list_missing(plan, state, configuration):
+        remaining_budget -= state.prices[candidate.offer]
         if remaining_budget < -EPSILON or started >= MAX_STARTS:
             return
-        if candidate.offer.data_centre == world.data_centre:
+        if candidate.offer.data_centre == state.data_centre:
             started += 1
             yield candidate
 
 
-def find_headroom(world: World, configuration: Configuration) -> float:
+def find_headroom(state: ObservedState, configuration: Configuration) -> float:
     """Return the cost per hour left below the sum of all ceilings."""
     budget = sum(
         work_class.cost_ceiling_per_hour
         for work_class in configuration.classes.values()
     )
-    return budget - world.per_hour
+    return budget - state.per_hour
 
 
 def _list_missing(
-    plan: Plan, world: World, configuration: Configuration
+    plan: Plan, state: ObservedState, configuration: Configuration
 ) -> Iterator[WantedVM]:
     up_to_date: Counter[ModelOffer] = Counter()
-    running: Counter[ModelOffer] = Counter(world.running)
-    for order in world.own:
+    running: Counter[ModelOffer] = Counter(state.running)
+    for order in state.own:
         up_to_date[order.model, order.offer] += _is_up_to_date(
             order, configuration
         )
     for (model, offer), count in sorted(plan.counts.items(), key=_rank):
         key = (model, offer)
-        is_own = offer.data_centre == world.data_centre
+        is_own = offer.data_centre == state.data_centre
         surge = math.ceil(count * SURGE_SHARE) if is_own else 0
         missing = count - (up_to_date[key] if is_own else running[key])
         surge_left = count + surge - running[key]
@@ -136,14 +136,14 @@
 
 def _select_stops(
     plan: Plan,
-    world: World,
+    state: ObservedState,
     configuration: Configuration,
     policy: PlanningPolicy,
 ) -> Iterator[VMOrder]:
-    live = Counter(world.live_counts)
-    for order in _list_surplus(plan, world, configuration):
+    live = Counter(state.live_counts)
+    for order in _list_surplus(plan, state, configuration):
         key = (order.model, order.offer)
-        if order.id not in world.live:
+        if order.id not in state.live:
             yield order
             continue
         if order.model not in configuration.models:
@@ -157,14 +157,14 @@
 
 
 def _list_surplus(
-    plan: Plan, world: World, configuration: Configuration
+    plan: Plan, state: ObservedState, configuration: Configuration
 ) -> Iterator[VMOrder]:
     """Return the VMs beyond the plan, of outdated versions first.
 
     Of the same version, those that are not live come first.
     """
     orders_by_key: dict[ModelOffer, list[VMOrder]] = {}
-    for order in world.own:
+    for order in state.own:
         orders_by_key.setdefault((order.model, order.offer), []).append(order)
     for (model, offer), orders in orders_by_key.items():
         surplus = len(orders) - plan.count(model, offer)
@@ -172,7 +172,7 @@
             orders,
             key=lambda order: (
                 _is_up_to_date(order, configuration),
-                order.id in world.live,
+                order.id in state.live,
                 order.id,
             ),
         )
@@ -201,7 +201,7 @@
         for offer, count in counts.items()
     )
     need = plan.needs.get(model, Need(normal=0.0, after_loss=0.0))
-    survivors = find_survivors(counts, weights, policy.placement)
+    survivors = compute_survivors(counts, weights, policy.placement)
     return (
         replicas + EPSILON >= need.normal
         and survivors + EPSILON >= need.after_loss
--- a/packages/mimosamux-daemon/mimosamux_daemon/control_parts.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/control_parts.py
@@ -111,7 +111,7 @@
     seeds = PlatformSeeds(
         cloud=platform.cloud,
         data_centre=settings.data_centre,
-        fixed=settings.peers,
+        configured=settings.peers,
     )
     membership = Membership(
         daemon=settings.daemon,
--- a/packages/mimosamux-daemon/mimosamux_daemon/daemon.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/daemon.py
@@ -22,8 +22,8 @@
 from mimosamux_daemon.metrics import Metrics
 from mimosamux_daemon.parts import DaemonParts
 from mimosamux_daemon.planning_parts import (
-    build_news,
     build_planning,
+    build_planning_view,
 )
 from mimosamux_daemon.platform import Platform, open_platform
 from mimosamux_daemon.serving_parts import build_serving
@@ -160,12 +160,12 @@
         control: ControlParts,
         tasks: anyio.abc.TaskGroup,
     ) -> DaemonParts:
-        news = build_news(self.settings, control)
+        planning_view = build_planning_view(self.settings, control)
         serving = build_serving(
             settings=self.settings,
             platform=platform,
             control=control,
-            news=news,
+            planning_view=planning_view,
             metrics=self.metrics,
             wall_clock=self._wall_clock,
             tasks=tasks,
@@ -175,7 +175,7 @@
             platform=platform,
             control=control,
             serving=serving,
-            news=news,
+            planning_view=planning_view,
             wall_clock=self._wall_clock,
         )
         return DaemonParts(control=control, serving=serving, planning=planning)
--- a/packages/mimosamux-daemon/mimosamux_daemon/planning_parts.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/planning_parts.py
@@ -13,7 +13,7 @@
 from mimosamux_daemon.control.demand import DemandMeter
 from mimosamux_daemon.control.drains import FleetDrainer
 from mimosamux_daemon.control.planner import Planner
-from mimosamux_daemon.control.planning_exchange import PlanningNews
+from mimosamux_daemon.control.planning_exchange import PlanningView
 from mimosamux_daemon.control_parts import ControlParts, guard_table
 from mimosamux_daemon.domain.engine import LoadReport
 from mimosamux_daemon.domain.names import DaemonId, DataCentreName
@@ -27,13 +27,15 @@
 class PlanningParts:
     """What one daemon knows of planning, and its planner if it has one."""
 
-    news: PlanningNews
+    planning_view: PlanningView
     planner: Planner | None
 
 
-def build_news(settings: Settings, control: ControlParts) -> PlanningNews:
+def build_planning_view(
+    settings: Settings, control: ControlParts
+) -> PlanningView:
     """Return what this daemon knows of planning, empty at first."""
-    return PlanningNews(
+    return PlanningView(
         data_centre=settings.data_centre,
         meter=DemandMeter(),
         ceilings=Ceilings(randomness=random.Random()),
@@ -47,12 +49,12 @@
     platform: Platform,
     control: ControlParts,
     serving: ServingParts,
-    news: PlanningNews,
+    planning_view: PlanningView,
     wall_clock: Callable[[], float],
 ) -> PlanningParts:
     """Return the planner that waits for its data centre's lease."""
     if not settings.plans_vms:
-        return PlanningParts(news=news, planner=None)
+        return PlanningParts(planning_view=planning_view, planner=None)
     membership = control.membership
     here = settings.data_centre
 
@@ -63,7 +65,7 @@
             if name != here
         }
 
-    def reports() -> Sequence[tuple[Endpoint, LoadReport | None]]:
+    def load_reports() -> Sequence[tuple[Endpoint, LoadReport | None]]:
         return [
             (state.endpoint, state.report)
             for state in serving.fleet.by_id.values()
@@ -84,13 +86,13 @@
             weights=platform.weights,
             peers=control.peers,
         ),
-        news=news,
+        planning_view=planning_view,
         drains=FleetDrainer(
             fleet=serving.fleet, announce=serving.keeper.announce_leaving
         ),
         configuration=lambda: control.in_force.current,
         wall_clock=wall_clock,
         randomness=random.Random(),
-        reports=reports,
+        load_reports=load_reports,
     )
-    return PlanningParts(news=news, planner=planner)
+    return PlanningParts(planning_view=planning_view, planner=planner)
--- a/packages/mimosamux-daemon/mimosamux_daemon/serving_parts.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/serving_parts.py
@@ -11,7 +11,7 @@
 from mimosamux_daemon.control.journal_claims import JournalClaims
 from mimosamux_daemon.control.one_way_delays import OneWayDelays
 from mimosamux_daemon.control.ownership import Ownership
-from mimosamux_daemon.control.planning_exchange import PlanningNews
+from mimosamux_daemon.control.planning_exchange import PlanningView
 from mimosamux_daemon.control.store_guard import GuardedObjectStore
 from mimosamux_daemon.control_parts import ControlParts, guard_table
 from mimosamux_daemon.domain.names import (
@@ -76,7 +76,7 @@
     settings: Settings,
     platform: Platform,
     control: ControlParts,
-    news: PlanningNews,
+    planning_view: PlanningView,
     metrics: Metrics,
     wall_clock: Callable[[], float],
     tasks: anyio.abc.TaskGroup,
@@ -95,7 +95,7 @@
         configuration=lambda: control.in_force.current,
         metrics=metrics,
     )
-    admission = Admission(over_ceiling=news.ceilings.over_ceiling)
+    admission = Admission(over_ceiling=planning_view.ceilings.over_ceiling)
     registry = RequestRegistry()
     journal_table = guard_table(control.guard, platform, 'journal')
     journal = Journal(
@@ -114,7 +114,7 @@
         tasks=tasks,
         metrics=metrics,
         journal=journal,
-        meter=news.meter,
+        meter=planning_view.meter,
     )
     side_effects = _build_side_effects(
         settings=settings,
--- a/packages/mimosamux-daemon/mimosamux_daemon/status_parts.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/status_parts.py
@@ -41,7 +41,7 @@
         """Return each class against its target and its ceiling."""
         missing = {
             shortfall.work_class: shortfall.missing_per_hour
-            for shortfall in self.planning.news.ceilings.shortfalls
+            for shortfall in self.planning.planning_view.ceilings.shortfalls
         }
         return [
             self._describe(name, missing.get(name))
--- a/tests/support/planning.py
+++ b/tests/support/planning.py
@@ -19,7 +19,7 @@
 from mimosamux_daemon.control.configuration_models import parse_configuration
 from mimosamux_daemon.control.leases import LeasePolicy
 from mimosamux_daemon.control.planner import Planner, PlannerPolicy
-from mimosamux_daemon.control.planning_exchange import PlanningNews
+from mimosamux_daemon.control.planning_exchange import PlanningView
 from mimosamux_daemon.domain.names import DaemonId, EndpointId
 from mimosamux_daemon.domain.plan import ClassDemand, ServiceRate
 from mimosamux_daemon.domain.vms import VM, Endpoint, Market, Price
@@ -124,7 +124,7 @@
 
     data_centre: str
     way: TroubledTable
-    news: PlanningNews
+    planning_view: PlanningView
     meter: FixedMeter
     planner: Planner
     scope: anyio.CancelScope | None = None
@@ -169,7 +169,7 @@
         daemon = DaemonId(f'{data_centre}-{number}')
         peers = self.network.join(daemon)
         way = TroubledTable(table=self.table)
-        news = PlanningNews(
+        planning_view = PlanningView(
             data_centre=data_centre,
             meter=meter,
             ceilings=Ceilings(randomness=self.randomness),
@@ -194,18 +194,18 @@
                 weights=self.weights,
                 peers=peers,
             ),
-            news=news,
+            planning_view=planning_view,
             drains=self.drains,
             configuration=lambda: self.configuration,
             wall_clock=lambda: 0.0,
             randomness=random.Random(self.randomness.random()),
-            reports=self.report,
+            load_reports=self.report,
             policies=self.policies,
         )
         node = Node(
             data_centre=data_centre,
             way=way,
-            news=news,
+            planning_view=planning_view,
             meter=meter,
             planner=planner,
         )
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -5,12 +5,12 @@
 
 import anyio
 from mimosamux_daemon.control.build_planner import PlannerPolicies
-from mimosamux_daemon.control.capacity import CapacityPolicy, find_need
+from mimosamux_daemon.control.capacity import CapacityPolicy, compute_need
 from mimosamux_daemon.control.demand import DemandPolicy, Forecast
 from mimosamux_daemon.control.placement import (
     PlacementPolicy,
     PricedOffer,
-    find_survivors,
+    compute_survivors,
     place,
 )
 from mimosamux_daemon.control.planning import (
@@ -72,7 +72,7 @@
 class TestNeed(unittest.TestCase):
     def test_more_demand_never_needs_less(self):
         needs = [
-            find_need(
+            compute_need(
                 [item.scaled(factor) for item in USUAL],
                 configure().classes,
                 RATE,
@@ -90,7 +90,7 @@
         """
 
         def find(demands):
-            return find_need(
+            return compute_need(
                 demands, configure().classes, RATE, CapacityPolicy()
             )
 
@@ -106,7 +106,7 @@
             for share in (0.2, 0.6, 1.0):
                 need = Need(normal=normal, after_loss=share * normal)
                 placed = place(need, offers(), PlacementPolicy())
-                survivors = find_survivors(
+                survivors = compute_survivors(
                     placed.counts, {}, PlacementPolicy()
                 )
                 self.assertTrue(placed.meets_need)
@@ -214,13 +214,13 @@
 
         async def script(site):
             await anyio.sleep(300)
-            before = site.nodes['north-0'].news.ceilings.shortfalls
+            before = site.nodes['north-0'].planning_view.ceilings.shortfalls
             site.set_prices(spot=(4.0, 4.0, 4.0), fixed=9.0)
             await anyio.sleep(900)
-            during = site.nodes['north-0'].news.ceilings.shortfalls
+            during = site.nodes['north-0'].planning_view.ceilings.shortfalls
             site.set_prices()
             await anyio.sleep(900)
-            after = site.nodes['north-0'].news.ceilings.shortfalls
+            after = site.nodes['north-0'].planning_view.ceilings.shortfalls
             return before, during, after
 
         site = PlannedSite(
--- a/tests/test_planner_properties.py
+++ b/tests/test_planner_properties.py
@@ -336,7 +336,7 @@
         undamped = PlannerPolicy(
             interval_s=10.0,
             notice_poll_s=5.0,
-            demand=DemandPolicy(hold_s=0.0, rise_s=1.0, spare_share=0.0),
+            demand=DemandPolicy(hold_s=0.0, rise_s=1.0, fall_margin=0.0),
         )
         self.expect(
             'never settles',
--- a/tests/test_platform_seeds.py
+++ b/tests/test_platform_seeds.py
@@ -26,7 +26,7 @@
                 make_vm('engine'),
             )
             seeds = PlatformSeeds(
-                cloud=cloud, data_centre='riga-1', fixed=(FIXED,)
+                cloud=cloud, data_centre='riga-1', configured=(FIXED,)
             )
             await seeds.poll()
             cloud.is_down = True
