--- a/packages/mimosamux-daemon/mimosamux_daemon/serving/service_calls.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/serving/service_calls.py
@@ -16,7 +16,7 @@
 from mimosamux_daemon.serving.admission import Admission
 from mimosamux_daemon.serving.fleet import Fleet
 from mimosamux_daemon.serving.repeatable_calls import RepeatableCalls
-from mimosamux_daemon.serving.side_effects import SideEffects, refuse_unseen
+from mimosamux_daemon.serving.side_effects import SideEffects, refuse_unchecked
 
 ONLY_ATTEMPT = 1
 
@@ -80,7 +80,7 @@
         )
         if call.work_class.repeatable:
             return refused
-        return refuse_unseen(call, refused)
+        return refuse_unchecked(call, refused)
 
     async def _run(self, call: ServiceCall) -> Outcome:
         if call.work_class.repeatable:
--- a/packages/mimosamux-daemon/mimosamux_daemon/serving/side_effect_dispatch.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/serving/side_effect_dispatch.py
@@ -1,4 +1,8 @@
-"""The one dispatch of a call that may not be repeated."""
+"""Sends a claimed non-repeatable call and records its result.
+
+Only a failed connect, after which no byte can have reached the service,
+lets the call continue at another endpoint.
+"""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -22,38 +26,38 @@
 from mimosamux_daemon.serving.side_effect_rows import (
     CallRow,
     CallState,
-    keep_answer,
+    to_stored_answer,
 )
 from mimosamux_daemon.serving.side_effect_store import (
     AbandonedIntent,
     CallStore,
     Claim,
-    Ending,
+    FinalState,
     NotClaimed,
 )
-from mimosamux_daemon.serving.side_effect_upkeep import LateWrites
+from mimosamux_daemon.serving.side_effect_upkeep import PendingWrites
 
 log = get_log('side_effects')
 
 ChooseEndpoint = Callable[
     [ServiceName, frozenset[EndpointId]], Endpoint | Refused
 ]
-"""Chooses an endpoint of a service, without the excluded ones."""
+"""Chooses an endpoint of a service that is not in the excluded set."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Dispatcher:
-    """Sends a claimed call once, and writes its end into the row."""
+    """Sends a claimed call once and writes the result to its row."""
 
     store: CallStore
-    late: LateWrites
+    pending_writes: PendingWrites
     services: Services
     choose: ChooseEndpoint
     wall_clock: Callable[[], float]
     limits: SideEffectLimits
 
     async def dispatch(self, claim: Claim, call: ServiceCall) -> Outcome:
-        """Send the call; only a failed connect goes on elsewhere."""
+        """Send the call, trying other endpoints only after failed connects."""
         excluding: frozenset[EndpointId] = frozenset()
         while True:
             confirmed = await self._confirm(claim, call)
@@ -61,15 +65,15 @@
                 return confirmed
             claim = confirmed
             if anyio.current_time() >= call.deadline:
-                return self._give_up(claim, deadline_passed())
+                return self._refuse_unsent(claim, deadline_passed())
             endpoint = self.choose(call.service, excluding)
             if isinstance(endpoint, Refused):
-                return self._give_up(claim, endpoint)
+                return self._refuse_unsent(claim, endpoint)
             if self._is_stale(claim):
                 continue
             answer = await self._send(endpoint, call)
             if not isinstance(answer, ConnectFailed):
-                return await self._end(claim, call, answer)
+                return await self._record_answer(claim, call, answer)
             log.info(
                 'connect_failed',
                 request=call.id,
@@ -81,7 +85,7 @@
     async def _send(
         self, endpoint: Endpoint, call: ServiceCall
     ) -> ServiceAnswer | ConnectFailed | None:
-        """Send the call once; None if it may have run unanswered."""
+        """Send the call once; return None if it may have run unanswered."""
         with anyio.CancelScope(deadline=call.deadline):
             answer = await self.services.call(endpoint, call)
             if isinstance(answer, ServiceAnswer | ConnectFailed):
@@ -95,10 +99,10 @@
     async def _confirm(
         self, claim: Claim, call: ServiceCall
     ) -> Claim | Outcome:
-        """Look at the row again if the claim is old."""
+        """Confirm in the table that a stale claim still holds."""
         if not self._is_stale(claim):
             return claim
-        give_up_at = anyio.current_time() + self.limits.settle_s
+        give_up_at = anyio.current_time() + self.limits.claim_timeout_s
         confirmed = await self.store.confirm(
             claim, give_up_at=min(give_up_at, call.deadline)
         )
@@ -108,33 +112,33 @@
             refused = store_unavailable(
                 confirmed.reason, self.limits.retry_after_s
             )
-            return self._give_up(claim, refused)
-        # Somebody has settled the call meanwhile; it must not go out.
+            return self._refuse_unsent(claim, refused)
+        # Another daemon has settled the call, so it must not be sent.
         return unknown_outcome(call)
 
-    def _give_up(self, claim: Claim, refused: Refused) -> Refused:
-        """Refuse a call that this daemon will never send."""
-        self.late.add(
+    def _refuse_unsent(self, claim: Claim, refused: Refused) -> Refused:
+        """Release the key of a call that was not sent, and refuse it."""
+        self.pending_writes.add(
             AbandonedIntent(
-                key=claim.key, row=claim.row, may_replace=claim.version
+                key=claim.key, row=claim.row, replaceable_version=claim.version
             )
         )
         return refused
 
-    async def _end(
+    async def _record_answer(
         self, claim: Claim, call: ServiceCall, answer: ServiceAnswer | None
     ) -> Outcome:
         state = CallState.ANSWERED if answer else CallState.UNKNOWN
         row = claim.row.settle(
             state,
             settled_at=self.wall_clock(),
-            answer=keep_answer(answer) if answer else None,
+            answer=to_stored_answer(answer) if answer else None,
         )
         body = answer.body if answer else b''
-        stands = await self._write_ending(
-            Ending(claim=claim, row=row, body=body)
+        current = await self._write_final_state(
+            FinalState(claim=claim, row=row, body=body)
         )
-        if answer is None or stands.state is not CallState.ANSWERED:
+        if answer is None or current.state is not CallState.ANSWERED:
             return unknown_outcome(call)
         return Answered(
             request=call.id,
@@ -143,18 +147,20 @@
             body=answer.body,
         )
 
-    async def _write_ending(self, ending: Ending) -> CallRow:
-        """Return the row that stands; during an outage, our own.
+    async def _write_final_state(self, final: FinalState) -> CallRow:
+        """Write the result and return the row that the table then holds.
 
-        The service has answered: the caller gets the answer, also while
-        the store is down, and the row is written once it is back.
+        If the store is unavailable for longer than `final_write_s`, return the
+        unwritten row and queue the write in `pending_writes`. The
+        service has answered, so the caller gets that answer even during a
+        store outage.
         """
-        give_up_at = anyio.current_time() + self.limits.ending_s
-        stands = await self.store.write_ending(ending)
-        while isinstance(stands, Unavailable):
+        give_up_at = anyio.current_time() + self.limits.final_write_s
+        current = await self.store.write_final_state(final)
+        while isinstance(current, Unavailable):
             if anyio.current_time() >= give_up_at:
-                self.late.add(ending)
-                return ending.row
+                self.pending_writes.add(final)
+                return final.row
             await anyio.sleep(self.limits.poll_s)
-            stands = await self.store.write_ending(ending)
-        return stands
+            current = await self.store.write_final_state(final)
+        return current
--- a/packages/mimosamux-daemon/mimosamux_daemon/serving/side_effect_follow.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/serving/side_effect_duplicates.py
@@ -1,4 +1,4 @@
-"""Calls whose key has a row already: what became of the earlier one."""
+"""Calls whose idempotency key already has a row: duplicates of a call."""
 
 import random
 from dataclasses import dataclass
@@ -9,7 +9,7 @@
 from mimosamux_daemon.domain.store import Unavailable
 from mimosamux_daemon.domain.work import ServiceCall
 from mimosamux_daemon.serving.side_effect_limits import SideEffectLimits
-from mimosamux_daemon.serving.side_effect_orphans import Orphans
+from mimosamux_daemon.serving.side_effect_orphans import OrphanDetector
 from mimosamux_daemon.serving.side_effect_outcomes import (
     in_doubt,
     key_reused,
@@ -21,22 +21,25 @@
     CallState,
     digest_call,
 )
-from mimosamux_daemon.serving.side_effect_store import CallStore, Found
+from mimosamux_daemon.serving.side_effect_store import CallStore, FoundRow
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Follower:
-    """Waits for the end of an earlier call, and gives its answer again."""
+class DuplicateCalls:
+    """Waits until the first call has settled and replays its answer."""
 
     store: CallStore
-    orphans: Orphans
+    orphans: OrphanDetector
     limits: SideEffectLimits
-    chance: random.Random
+    rng: random.Random
 
-    async def follow(
-        self, found: Found, call: ServiceCall, give_up_at: float
+    async def find_outcome(
+        self, found: FoundRow, call: ServiceCall, give_up_at: float
     ) -> Outcome | None:
-        """Return what became of the call; None: the key is free."""
+        """Return the outcome of the first call.
+
+        None means that the first call did not run, so the key is free.
+        """
         pause_s = self.limits.poll_s
         digest = digest_call(call)
         while True:
@@ -47,25 +50,25 @@
                 return await self._replay(found, row, call)
             if min(give_up_at, call.deadline) <= anyio.current_time():
                 return in_doubt(call, self.limits.retry_after_s)
-            now = await self._look_again(found, pause_s)
+            now = await self._poll(found, pause_s)
             if now is None:
                 return None
             if isinstance(now, Unavailable):
                 return in_doubt(call, self.limits.retry_after_s)
-            pause_s = min(2 * pause_s, self.limits.poll_most_s)
+            pause_s = min(2 * pause_s, self.limits.max_poll_s)
             found = now
 
-    async def _look_again(
-        self, found: Found, pause_s: float
-    ) -> Found | None | Unavailable:
-        """Return the row some time later, or settled if nobody else will."""
+    async def _poll(
+        self, found: FoundRow, pause_s: float
+    ) -> FoundRow | None | Unavailable:
+        """Poll the row after a pause; settle it at once if it is orphaned."""
         if found.row is not None and self.orphans.is_orphan(found.row):
             return await self.store.declare_unknown(found, found.row)
-        await anyio.sleep(pause_s * self.chance.uniform(0.5, 1.5))
+        await anyio.sleep(pause_s * self.rng.uniform(0.5, 1.5))
         return await self.store.find(found.key)
 
     async def _replay(
-        self, found: Found, row: CallRow, call: ServiceCall
+        self, found: FoundRow, row: CallRow, call: ServiceCall
     ) -> Outcome | None:
         if row.state is CallState.NOT_RUN:
             return None
--- a/packages/mimosamux-daemon/mimosamux_daemon/serving/side_effect_limits.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/serving/side_effect_limits.py
@@ -1,26 +1,29 @@
-"""Times that calls which may not be repeated are handled by."""
+"""Time limits for non-repeatable calls."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class SideEffectLimits:
-    """Times in seconds."""
+    """Timeouts and pauses, in seconds."""
 
     dispatch_window_s: float = 2.0
-    """A call goes out this soon after its row was written, or the row is
-    checked again. Shorter than the time to take a daemon for dead."""
-    settle_s: float = 3.0
-    """Time to find out whether a write of unknown fate has landed."""
-    ending_s: float = 1.0
-    """Time that the caller waits for the row to hold the answer."""
+    """Longest age of a claim at which the call may be sent; an older claim
+    is confirmed in the table first. Shorter than the time after which
+    other daemons consider a silent daemon dead."""
+    claim_timeout_s: float = 3.0
+    """Time for which a claim whose write got no answer is retried."""
+    final_write_s: float = 1.0
+    """Time that the caller of an answered call waits for the answer to be
+    written to the row."""
     wait_s: float = 10.0
-    """Time that a second caller waits for the first one's answer."""
+    """Time that a duplicate call waits for the first call to settle."""
     poll_s: float = 0.05
-    """First pause between two looks at the row; it doubles."""
-    poll_most_s: float = 1.0
-    overdue_s: float = 30.0
-    """Added to the holder's own time until its call counts as unknown,
-    even if the holder seems to be alive."""
+    """Initial pause between two reads of the row; each pause doubles it."""
+    max_poll_s: float = 1.0
+    """Upper bound of that pause."""
+    overdue_grace_s: float = 30.0
+    """Time past the call's deadline after which an open call is settled
+    as unknown even if its holder seems to be alive."""
     retry_after_s: float = 2.0
-    """When a caller is told to come again."""
+    """Retry-After of refusals and of calls in doubt."""
--- a/packages/mimosamux-daemon/mimosamux_daemon/serving/side_effect_orphans.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/serving/side_effect_orphans.py
@@ -1,4 +1,4 @@
-"""Open calls whose holder will not end them."""
+"""Detection of open calls whose holder will not settle them."""
 
 from typing import Protocol
 
@@ -7,22 +7,22 @@
 from mimosamux_daemon.domain.names import DaemonId
 from mimosamux_daemon.serving.side_effect_rows import CallRow
 
-MOST_ROWS = 10_000
-"""Open rows of which the first look is remembered."""
+MAX_TRACKED_ROWS = 10_000
+"""Most open rows whose first sighting is remembered."""
 
 
 class Liveness(Protocol):
-    """Tells which processes of daemons are gone for good."""
+    """Reports which incarnations of daemons are dead."""
 
     def is_dead(self, daemon: DaemonId, incarnation: int) -> bool:
-        """Whether this process of the daemon counts as dead."""
+        """Whether this incarnation of the daemon is considered dead."""
 
 
-class Orphans:
-    """Finds open rows of holders that are dead, or have had their time.
+class OrphanDetector:
+    """Detects open rows whose holder is dead or that are overdue.
 
-    A holder that is alive can leave a row open too: its write of the end
-    may have been dropped after a long outage.
+    A live holder can leave a row open too: its write of the result may
+    have been dropped during a long store outage.
     """
 
     def __init__(
@@ -31,16 +31,16 @@
         daemon: DaemonId,
         incarnation: int,
         liveness: Liveness,
-        extra_s: float,
+        grace_s: float,
     ) -> None:
         self._daemon = daemon
         self._incarnation = incarnation
         self._liveness = liveness
-        self._extra_s = extra_s
-        self._since_by_token: dict[str, float] = {}
+        self._grace_s = grace_s
+        self._first_seen_by_token: dict[str, float] = {}
 
     def is_orphan(self, row: CallRow) -> bool:
-        """Whether the holder of an open call will not end it."""
+        """Whether the holder of an open call will not settle it."""
         if row.daemon == self._daemon and row.incarnation != self._incarnation:
             return True
         if self._liveness.is_dead(row.daemon, row.incarnation):
@@ -49,9 +49,11 @@
 
     def _is_overdue(self, row: CallRow) -> bool:
         now = anyio.current_time()
-        since = self._since_by_token.get(row.token)
-        if since is None:
-            if len(self._since_by_token) >= MOST_ROWS:
-                del self._since_by_token[next(iter(self._since_by_token))]
-            self._since_by_token[row.token] = since = now
-        return now > since + row.time_left_s + self._extra_s
+        first_seen = self._first_seen_by_token.get(row.token)
+        if first_seen is None:
+            if len(self._first_seen_by_token) >= MAX_TRACKED_ROWS:
+                del self._first_seen_by_token[
+                    next(iter(self._first_seen_by_token))
+                ]
+            self._first_seen_by_token[row.token] = first_seen = now
+        return now > first_seen + row.time_left_s + self._grace_s
--- a/packages/mimosamux-daemon/mimosamux_daemon/serving/side_effect_outcomes.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/serving/side_effect_outcomes.py
@@ -1,4 +1,4 @@
-"""What callers are told about calls that may not be repeated."""
+"""Refusals and outcomes that callers of non-repeatable calls receive."""
 
 from mimosamux_daemon.domain.outcomes import (
     Answered,
@@ -12,16 +12,16 @@
 from mimosamux_daemon.domain.work import ServiceCall
 from mimosamux_daemon.serving.side_effect_rows import (
     MAX_KEY_LENGTH,
-    BodyPlace,
-    KeptAnswer,
+    BodyLocation,
+    StoredAnswer,
 )
 
-DOUBT_RETRY_AFTER_S = 2.0
-"""When to come again after a doubt for which no time was given."""
+IN_DOUBT_RETRY_AFTER_S = 2.0
+"""Retry-After of an in-doubt answer to a refusal without one."""
 
 
 def check_key(call: ServiceCall) -> Refused | None:
-    """Return why a call's idempotency key will not do, if it won't."""
+    """Return a refusal if the idempotency key is missing or too long."""
     key = call.idempotency_key
     if key and len(key) <= MAX_KEY_LENGTH:
         return None
@@ -35,12 +35,14 @@
     )
 
 
-def refuse_unseen(call: ServiceCall, refused: Refused) -> Refused | InDoubt:
-    """Return the refusal of a call whose row this daemon has not seen.
+def refuse_unchecked(call: ServiceCall, refused: Refused) -> Refused | InDoubt:
+    """Return the answer to a call refused without a look at its row.
 
     An earlier call with the same key may have run, for example through a
-    daemon that died before it could answer. A caller who is told 'not
-    run' would send the call under another key, and it would run twice.
+    daemon that died before it could answer. If the caller were told that
+    it did not run, it would send the call under another key, and the
+    call would run twice. Only the first call with a key gets the refusal
+    itself; a later one gets an in-doubt answer.
     """
     if call.is_first:
         return refused
@@ -50,12 +52,12 @@
             f'{refused.message}; whether an earlier call with this key ran'
             ' cannot be told now, so come again with the same key'
         ),
-        retry_after_s=refused.retry_after_s or DOUBT_RETRY_AFTER_S,
+        retry_after_s=refused.retry_after_s or IN_DOUBT_RETRY_AFTER_S,
     )
 
 
 def key_reused() -> Refused:
-    """Return the refusal of a key that came with another body."""
+    """Return the refusal of a key reused for another path or body."""
     return Refused(
         reason=Reason.CONFLICT,
         message='Idempotency-Key: it was used for another path or body',
@@ -63,7 +65,7 @@
 
 
 def deadline_passed() -> Refused:
-    """Return the refusal of a call that came too late to be sent."""
+    """Return the refusal of a call whose deadline passed unsent."""
     return Refused(
         reason=Reason.DEADLINE,
         message='the deadline of its class passed before it could be sent',
@@ -80,7 +82,7 @@
 
 
 def not_running(retry_after_s: float) -> Refused:
-    """Return the refusal of a daemon that takes no calls."""
+    """Return the refusal of a daemon that does not accept calls."""
     return Refused(
         reason=Reason.STOPPING,
         message='this daemon is not running; use another one',
@@ -89,7 +91,7 @@
 
 
 def in_doubt(call: ServiceCall, retry_after_s: float) -> InDoubt:
-    """Return that an earlier call with the key is still open."""
+    """Return the answer while an earlier call with the key is open."""
     return InDoubt(
         request=call.id,
         message='an earlier call with this key is not settled yet',
@@ -98,7 +100,7 @@
 
 
 def unknown_outcome(call: ServiceCall) -> Unknown:
-    """Return the final answer of a call that may or may not have run."""
+    """Return the final outcome of a call that may have run or not."""
     return Unknown(
         request=call.id,
         message=(
@@ -109,21 +111,21 @@
 
 
 def replayed_outcome(
-    call: ServiceCall, kept: KeptAnswer, body: bytes
+    call: ServiceCall, stored: StoredAnswer, body: bytes
 ) -> Outcome:
-    """Return a kept answer as the outcome of the call that asks again."""
-    if kept.body_place is BodyPlace.NOWHERE:
+    """Return the stored answer as the outcome of a duplicate call."""
+    if stored.body_place is BodyLocation.NOT_STORED:
         return Failed(
             request=call.id,
             reason=Reason.ENDPOINT_FAILED,
             message=(
-                f'the call ran and was answered with status {kept.status},'
+                f'the call ran and was answered with status {stored.status},'
                 ' but the answer was too large to be kept'
             ),
         )
     return Answered(
         request=call.id,
-        status=kept.status,
-        headers=kept.headers,
+        status=stored.status,
+        headers=stored.headers,
         body=body,
     )
--- a/packages/mimosamux-daemon/mimosamux_daemon/serving/side_effect_rows.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/serving/side_effect_rows.py
@@ -1,7 +1,9 @@
-"""The row that a call leaves in the table if it may not be repeated.
+"""Table rows of non-repeatable calls.
 
-There is one row for each account and idempotency key. Its state goes
-one way: intent, possibly dispatching, and then one of three ends.
+There is one row per account and idempotency key. Its state advances
+from intent, optionally through dispatching, to one of three settled
+states: answered, unknown or not run. The holder of a call is the daemon
+process whose intent the row records.
 """
 
 import hashlib
@@ -16,68 +18,70 @@
 
 SIDE_EFFECT_PREFIX = 'side-effects/'
 KEY_DIGEST_LENGTH = 40
-"""Hexadecimal digits of a caller's key that go into the row's key."""
+"""Hexadecimal digits of the idempotency key's digest in a row key."""
 MAX_KEY_LENGTH = 255
-"""Characters of an idempotency key."""
+"""Most characters of an idempotency key."""
 ROW_ANSWER_LIMIT = 16 * 1024
-"""Bytes of an answer's body that are kept in the row itself."""
+"""Largest body in bytes that is stored in the row itself."""
 OBJECT_ANSWER_LIMIT = 8 * 1024 * 1024
-"""Bytes of a body that are kept as an object; a larger one is not."""
+"""Largest body in bytes that is stored as an object; larger ones are
+not stored."""
 
 
 class CallState(StrEnum):
-    """How far a call has come."""
+    """State of a call."""
 
     INTENT = 'intent'
-    """Its holder is about to send it."""
+    """The holder is about to send it."""
     DISPATCHING = 'dispatching'
-    """Its holder looked again after a pause and is about to send it."""
+    """The holder confirmed a stale claim and is about to send it."""
     ANSWERED = 'answered'
     UNKNOWN = 'unknown'
-    """Nobody can tell whether it ran; no answer changes this."""
+    """Whether it ran is not known; this state is final."""
     NOT_RUN = 'not_run'
-    """Its holder gave it up before sending; the key is free again."""
+    """The holder gave up before sending it; the key is free again."""
 
 
-class BodyPlace(StrEnum):
-    """Where the body of an answer is kept."""
+class BodyLocation(StrEnum):
+    """Where the body of an answer is stored."""
 
     ROW = 'row'
     OBJECT = 'object'
-    NOWHERE = 'nowhere'
+    NOT_STORED = 'nowhere'
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class KeptAnswer:
-    """Answer of a service, kept for callers who ask again."""
+class StoredAnswer:
+    """Answer of a service, stored for duplicate calls."""
 
     status: int
     headers: tuple[tuple[str, str], ...]
     body: bytes = b''
-    body_place: BodyPlace = BodyPlace.ROW
+    body_place: BodyLocation = BodyLocation.ROW
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class CallRow:
-    """What the row of a call says."""
+    """Contents of a call's row."""
 
     state: CallState
     token: str
-    """Unique for each attempt to claim the key: tells whose row it is."""
+    """Unique for each attempt to claim the key; identifies the writer."""
     digest: str
     """Digest of service, method, path and body."""
     daemon: DaemonId
     incarnation: int
     request: RequestId
     time_left_s: float
-    """Time that the holder had left for the call when it claimed it."""
+    """Seconds to the deadline of the call when its holder claimed it."""
     settled_at: float = 0.0
-    """Wall time of the end in seconds since 1970; the cleaner reads it."""
-    answer: KeptAnswer | None = None
+    """Unix time in seconds at which the call settled; the cleaner deletes
+    rows by it."""
+    answer: StoredAnswer | None = None
 
     @property
     def is_settled(self) -> bool:
-        """Whether no holder has anything left to do for the call."""
+        """Whether the call has reached a final state."""
         return self.state not in (CallState.INTENT, CallState.DISPATCHING)
 
     def settle(
@@ -85,9 +89,9 @@
         state: CallState,
         *,
         settled_at: float,
-        answer: KeptAnswer | None = None,
+        answer: StoredAnswer | None = None,
     ) -> 'CallRow':
-        """Return the row with its end."""
+        """Return the row in a settled state."""
         return replace(self, state=state, settled_at=settled_at, answer=answer)
 
 
@@ -100,12 +104,12 @@
 
 
 def encode_row(row: CallRow) -> bytes:
-    """Return the value that is written into the table."""
+    """Return the table value of a row."""
     return _RowModel(row=row).model_dump_json().encode()
 
 
 def parse_row(value: bytes) -> CallRow | None:
-    """Return what a row says, None if this daemon cannot read it."""
+    """Return the row of a table value, None if it cannot be parsed."""
     try:
         return _RowModel.model_validate_json(value).row
     except pydantic.ValidationError:
@@ -113,18 +117,18 @@
 
 
 def row_key(account: AccountId, idempotency_key: str) -> str:
-    """Return the key of the row for an account and a caller's key."""
+    """Return the row key for an account and an idempotency key."""
     digest = hashlib.sha256(idempotency_key.encode()).hexdigest()
     return f'{SIDE_EFFECT_PREFIX}{account}/{digest[:KEY_DIGEST_LENGTH]}'
 
 
 def object_key(key: str, token: str) -> str:
-    """Return the key of the object that holds a large body."""
+    """Return the object key of a body too large for the row."""
     return f'{key}/{token}'
 
 
 def digest_call(call: ServiceCall) -> str:
-    """Return a digest of everything that makes a call the same call."""
+    """Return the digest that two calls must share to be duplicates."""
     digest = hashlib.sha256()
     for part in (call.service, call.method, call.path):
         digest.update(part.encode() + b'\0')
@@ -132,17 +136,17 @@
     return digest.hexdigest()
 
 
-def keep_answer(answer: ServiceAnswer) -> KeptAnswer:
-    """Return the part of an answer that goes into the row."""
+def to_stored_answer(answer: ServiceAnswer) -> StoredAnswer:
+    """Return an answer in its stored form, without a large body."""
     size = len(answer.body)
-    place = BodyPlace.NOWHERE
+    place = BodyLocation.NOT_STORED
     if size <= ROW_ANSWER_LIMIT:
-        place = BodyPlace.ROW
+        place = BodyLocation.ROW
     elif size <= OBJECT_ANSWER_LIMIT:
-        place = BodyPlace.OBJECT
-    return KeptAnswer(
+        place = BodyLocation.OBJECT
+    return StoredAnswer(
         status=answer.status,
         headers=answer.headers,
-        body=answer.body if place is BodyPlace.ROW else b'',
+        body=answer.body if place is BodyLocation.ROW else b'',
         body_place=place,
     )
--- a/packages/mimosamux-daemon/mimosamux_daemon/serving/side_effects.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/serving/side_effects.py
@@ -1,9 +1,10 @@
-"""Calls of services that may not be repeated: each runs at most once.
+"""Non-repeatable service calls: each runs at most once.
 
-Before a call is sent, a row in the table says who is about to send it.
-Nothing is sent again once a byte may have reached a service. A call
-whose holder is gone ends as unknown, which is final: it is never said
-of such a call that it did not run.
+Before a daemon sends a call, it writes an intent row to the table under
+the account and the idempotency key, and thereby becomes the call's
+holder. A call is never sent again once a byte of it may have reached a
+service. If its holder dies, the call settles as unknown. That state is
+final: the call may have run, so it is never reported as not run.
 """
 
 import random
@@ -26,14 +27,17 @@
     ChooseEndpoint,
     Dispatcher,
 )
-from mimosamux_daemon.serving.side_effect_follow import Follower
+from mimosamux_daemon.serving.side_effect_duplicates import DuplicateCalls
 from mimosamux_daemon.serving.side_effect_limits import SideEffectLimits
-from mimosamux_daemon.serving.side_effect_orphans import Liveness, Orphans
+from mimosamux_daemon.serving.side_effect_orphans import (
+    Liveness,
+    OrphanDetector,
+)
 from mimosamux_daemon.serving.side_effect_outcomes import (
     check_key,
     in_doubt,
     not_running,
-    refuse_unseen,
+    refuse_unchecked,
     store_unavailable,
 )
 from mimosamux_daemon.serving.side_effect_rows import (
@@ -46,25 +50,27 @@
     AbandonedIntent,
     CallStore,
     Claim,
-    Found,
+    FoundRow,
     NotClaimed,
     is_not_run,
 )
-from mimosamux_daemon.serving.side_effect_upkeep import Cleaner, LateWrites
+from mimosamux_daemon.serving.side_effect_upkeep import Cleaner, PendingWrites
 
 __all__ = [
     'ChooseEndpoint',
     'Liveness',
     'SideEffectLimits',
     'SideEffects',
-    'refuse_unseen',
+    'refuse_unchecked',
 ]
 
 log = get_log('side_effects')
 
 
 @dataclass(kw_only=True, slots=True)
-class _Waiting:
+class _PendingCall:
+    """A call whose caller waits for the outcome."""
+
     done: anyio.Event = field(default_factory=anyio.Event)
     outcome: Outcome | None = None
 
@@ -74,7 +80,7 @@
 
 
 class SideEffects:
-    """Runs each call of an account under one key at most once."""
+    """Runs one call at most per account and idempotency key."""
 
     def __init__(
         self,
@@ -89,111 +95,115 @@
         wall_clock: Callable[[], float],
         may_clean: Callable[[], bool] = _always,
         limits: SideEffectLimits | None = None,
-        chance: random.Random | None = None,
+        rng: random.Random | None = None,
     ) -> None:
         self._choose = choose
         self._daemon = daemon
         self._incarnation = incarnation
         self._limits = limits or SideEffectLimits()
-        chance = chance or random.Random()
+        rng = rng or random.Random()
         self._store = CallStore(
             table=table, objects=objects, wall_clock=wall_clock
         )
-        self._late = LateWrites(store=self._store, chance=chance)
-        orphans = Orphans(
+        self._pending_writes = PendingWrites(store=self._store, rng=rng)
+        orphans = OrphanDetector(
             daemon=daemon,
             incarnation=incarnation,
             liveness=liveness,
-            extra_s=self._limits.overdue_s,
+            grace_s=self._limits.overdue_grace_s,
         )
         self._cleaner = Cleaner(
             store=self._store,
             orphans=orphans,
             may_clean=may_clean,
-            chance=chance,
+            rng=rng,
         )
-        self._follower = Follower(
+        self._duplicates = DuplicateCalls(
             store=self._store,
             orphans=orphans,
             limits=self._limits,
-            chance=chance,
+            rng=rng,
         )
         self._dispatcher = Dispatcher(
             store=self._store,
-            late=self._late,
+            pending_writes=self._pending_writes,
             services=services,
             choose=choose,
             wall_clock=wall_clock,
             limits=self._limits,
         )
         self._tasks: anyio.abc.TaskGroup | None = None
-        self._open = 0
+        self._open_calls = 0
 
     async def run(self) -> None:
-        """Run the calls, late writes and the cleaner until cancelled."""
+        """Run calls, pending row writes and the cleaner until cancelled."""
         async with anyio.create_task_group() as tasks:
             self._tasks = tasks
             tasks.start_soon(self._cleaner.run)
             try:
-                await self._late.run()
+                await self._pending_writes.run()
             finally:
                 self._tasks = None
 
     async def drain(self) -> None:
-        """Return once every call has ended and every row is written."""
-        while self._open or self._late.is_pending:  # noqa: ASYNC110
+        """Wait until all calls have ended and all rows are written."""
+        while self._open_calls or self._pending_writes.is_pending:  # noqa: ASYNC110
             await anyio.sleep(self._limits.poll_s)
 
     async def call(self, call: ServiceCall) -> Outcome:
-        """Run the call, or return what became of it before.
+        """Run the call, or return the outcome of an earlier one.
 
-        The call goes on if the one who waits here is cancelled.
+        The call continues in the background if the caller is cancelled.
         """
         refused = check_key(call)
         if refused is not None:
             return refused
         if self._tasks is None:
             stopped = not_running(self._limits.retry_after_s)
-            return refuse_unseen(call, stopped)
-        waiting = _Waiting()
-        self._open += 1
-        self._tasks.start_soon(self._drive, call, waiting)
-        await waiting.done.wait()
-        return waiting.outcome or in_doubt(call, self._limits.retry_after_s)
-
-    async def _drive(self, call: ServiceCall, waiting: _Waiting) -> None:
+            return refuse_unchecked(call, stopped)
+        pending = _PendingCall()
+        self._open_calls += 1
+        self._tasks.start_soon(self._run_call, call, pending)
+        await pending.done.wait()
+        return pending.outcome or in_doubt(call, self._limits.retry_after_s)
+
+    async def _run_call(
+        self, call: ServiceCall, pending: _PendingCall
+    ) -> None:
         try:
-            waiting.outcome = await self._find_outcome(call)
+            pending.outcome = await self._run_or_replay(call)
         finally:
-            self._open -= 1
-            waiting.done.set()
+            self._open_calls -= 1
+            pending.done.set()
         log.info(
             'side_effect_ended',
             request=call.id,
             account=call.account,
             service=call.service,
-            outcome=type(waiting.outcome).__name__,
+            outcome=type(pending.outcome).__name__,
         )
 
-    async def _find_outcome(self, call: ServiceCall) -> Outcome:
+    async def _run_or_replay(self, call: ServiceCall) -> Outcome:
         key = row_key(call.account, call.idempotency_key or '')
         give_up_at = anyio.current_time() + self._limits.wait_s
         while True:
             claim = await self._claim(key, call)
             if isinstance(claim, Claim):
                 return await self._dispatcher.dispatch(claim, call)
-            if not isinstance(claim, Found):
+            if not isinstance(claim, FoundRow):
                 return claim
-            outcome = await self._follower.follow(claim, call, give_up_at)
+            outcome = await self._duplicates.find_outcome(
+                claim, call, give_up_at
+            )
             if outcome is not None:
                 return outcome
 
     async def _claim(
         self, key: str, call: ServiceCall
-    ) -> Claim | Found | Refused | InDoubt:
+    ) -> Claim | FoundRow | Refused | InDoubt:
         no_endpoint = self._choose(call.service, frozenset())
         if isinstance(no_endpoint, Refused):
-            return await self._find_earlier(key, call, no_endpoint)
+            return await self._find_earlier_call(key, call, no_endpoint)
         now = anyio.current_time()
         row = CallRow(
             state=CallState.INTENT,
@@ -204,26 +214,31 @@
             request=call.id,
             time_left_s=call.deadline - now,
         )
-        give_up_at = min(now + self._limits.settle_s, call.deadline)
+        give_up_at = min(now + self._limits.claim_timeout_s, call.deadline)
         claim = await self._store.claim(key, row, give_up_at=give_up_at)
         if not isinstance(claim, NotClaimed):
             return claim
-        if claim.may_replace is not None:
-            self._late.add(
+        if claim.replaceable_version is not None:
+            self._pending_writes.add(
                 AbandonedIntent(
-                    key=key, row=row, may_replace=claim.may_replace
+                    key=key,
+                    row=row,
+                    replaceable_version=claim.replaceable_version,
                 )
             )
         refused = store_unavailable(claim.reason, self._limits.retry_after_s)
-        return refuse_unseen(call, refused)
+        return refuse_unchecked(call, refused)
 
-    async def _find_earlier(
+    async def _find_earlier_call(
         self, key: str, call: ServiceCall, no_endpoint: Refused
-    ) -> Found | Refused | InDoubt:
-        """Return the row of an earlier call; nothing new can be sent."""
+    ) -> FoundRow | Refused | InDoubt:
+        """Return the row of an earlier call when no endpoint is available.
+
+        Without such a row, return the refusal.
+        """
         found = await self._store.find(key)
         if isinstance(found, Unavailable):
-            return refuse_unseen(call, no_endpoint)
-        if isinstance(found, Found) and not is_not_run(found):
+            return refuse_unchecked(call, no_endpoint)
+        if isinstance(found, FoundRow) and not is_not_run(found):
             return found
         return no_endpoint
--- a/tests/support/side_effects.py
+++ b/tests/support/side_effects.py
@@ -133,7 +133,7 @@
             incarnation=process.incarnation,
             wall_clock=anyio.current_time,
             may_clean=lambda: self.cleans,
-            chance=random.Random(2),
+            rng=random.Random(2),
         )
         await tasks.start(self._run, process)
         return process
--- a/tests/test_side_effect_properties.py
+++ b/tests/test_side_effect_properties.py
@@ -12,7 +12,7 @@
 from mimosamux_daemon.domain.outcomes import Answered, Refused, Unknown
 from mimosamux_daemon.serving import side_effects
 from mimosamux_daemon.serving.side_effect_dispatch import Dispatcher
-from mimosamux_daemon.serving.side_effect_follow import Follower
+from mimosamux_daemon.serving.side_effect_duplicates import DuplicateCalls
 from mimosamux_daemon.serving.side_effect_store import CallStore, Claim
 from mimosamux_daemon.serving.side_effects import SideEffects
 
@@ -158,13 +158,13 @@
 
 def says_not_run_unseen():
     return patch.object(
-        side_effects, 'refuse_unseen', lambda call, refused: refused
+        side_effects, 'refuse_unchecked', lambda call, refused: refused
     )
 
 
 @contextlib.contextmanager
 def forgets_unknown():
-    original = Follower._replay
+    original = DuplicateCalls._replay
 
     async def replay(self, found, row, call):
         outcome = await original(self, found, row, call)
@@ -172,7 +172,7 @@
             return Answered(request=call.id, body=b'surely it ran')
         return outcome
 
-    with patch.object(Follower, '_replay', replay):
+    with patch.object(DuplicateCalls, '_replay', replay):
         yield
 
 
