--- a/packages/mimosamux-daemon/mimosamux_daemon/serving/handover.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/serving/handover.py
@@ -1,13 +1,16 @@
-"""Hands accepted requests to a peer before this daemon stops.
+"""Hand-over of accepted requests to a peer before this daemon stops.
 
 A caller reads from one daemon at a time: from this one until its stream
-ends with a `moved` event, and after that from the peer. The peer's reply
-can be lost after it took the request, so the rule is: while an offer is
-under way nothing is added to the answer here; a `moved` event is written
-only after the peer said that it has the request; and without a reply
-this daemon goes on by itself, under attempt numbers far above those it
-told the peer. Nobody was sent to the peer then, so its copy is read by
-no one. It is told to drop it, and a later offer replaces it.
+ends with a `moved` event, and from the peer after that. The peer's reply
+can be lost after the peer accepted the request. Three rules keep the two
+copies apart:
+
+- While an offer is pending, this daemon adds nothing to the answer.
+- It writes the `moved` event only after the peer confirmed that it has
+  the request.
+- Without a reply it continues the request itself, under attempt numbers
+  far above the offered one. No caller was redirected to the peer's copy,
+  so this daemon tells the peer to drop it; a later offer replaces it.
 """
 
 from collections.abc import Sequence
@@ -43,20 +46,21 @@
 log = get_log('handover')
 
 OFFER_TIMEOUT_S = 1.0
-"""Time that a peer has to answer one offer."""
-OFFERS = 2
-"""Times that the same peer is asked before this daemon goes on."""
-TARGETS = 2
-"""Peers that are offered a request in one round."""
-OFFERS_AT_ONCE = 16
+"""Timeout of one offer."""
+OFFERS_PER_TARGET = 2
+"""Attempts to offer a request to one peer before this daemon continues
+the request itself."""
+MAX_TARGETS = 2
+"""Peers to which one request is offered, one after the other."""
+MAX_CONCURRENT_OFFERS = 16
 ATTEMPT_STRIDE = 1000
-"""Step of the attempt number after an offer without an answer, so that
-engines and relays tell this daemon's attempts from those of the peer."""
+"""Added to the attempt number after an unanswered offer, so that engines
+and relays can tell this daemon's attempts from those of the peer."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class HandoverTarget:
-    """A peer that may take requests over."""
+    """A peer that can take over requests."""
 
     daemon: DaemonId
     caller_address: str
@@ -64,14 +68,14 @@
 
 
 class HandoverTargets(Protocol):
-    """Knows the peers that stay."""
+    """Lists the peers that are not about to stop."""
 
     def handover_targets(self, account: AccountId) -> Sequence[HandoverTarget]:
-        """Return peers for an account's requests, the best first."""
+        """Return peers for an account's requests, best first."""
 
 
-class InForce(Protocol):
-    """Holds the configuration in force."""
+class ConfigurationSource(Protocol):
+    """Provides the configuration in force."""
 
     @property
     def current(self) -> Configuration:
@@ -79,7 +83,7 @@
 
 
 class Handover:
-    """Gives requests to peers, and takes those of peers that stop."""
+    """Hands requests over to peers and accepts those of stopping peers."""
 
     def __init__(
         self,
@@ -87,7 +91,7 @@
         serving: ModelServing,
         peers: Peers,
         targets: HandoverTargets,
-        in_force: InForce,
+        in_force: ConfigurationSource,
         journal: RequestJournal | None = None,
     ) -> None:
         self._serving = serving
@@ -95,18 +99,18 @@
         self._targets = targets
         self._in_force = in_force
         self._journal = journal
-        self._is_leaving = False
-        peers.handle(HandOver, self._take)
-        peers.handle(HandOverWithdrawn, self._drop)
+        self._is_stopping = False
+        peers.handle(HandOver, self._accept)
+        peers.handle(HandOverWithdrawn, self._drop_copy)
 
     async def hand_over(self, seconds_left: float) -> None:
-        """Hand everything that is open to peers, as far as they take it.
+        """Hand all open repeatable requests over to peers that accept them.
 
-        Calls that may not be repeated stay: prompting again at another
-        daemon would run them twice.
+        Non-repeatable requests stay: a new prompt at another daemon would
+        run them twice.
         """
-        self._is_leaving = True
-        limiter = anyio.Semaphore(OFFERS_AT_ONCE)
+        self._is_stopping = True
+        limiter = anyio.Semaphore(MAX_CONCURRENT_OFFERS)
         deadline = anyio.current_time() + seconds_left
         async with anyio.create_task_group() as tasks:
             for active in self._serving.registry.open_requests():
@@ -129,39 +133,39 @@
         targets = self._targets.handover_targets(active.request.account)
         if not targets or not await self._serving.park(active):
             return
-        for target in targets[:TARGETS]:
+        for target in targets[:MAX_TARGETS]:
             reply = await self._offer(active, target, deadline)
             if isinstance(reply, PeerUnavailable):
-                await self._go_on_here(active, target)
+                await self._continue_here(active, target)
                 return
             if reply.taken:
-                await self._move(active, target, reply)
+                await self._redirect_caller(active, target, reply)
                 return
         self._serving.resume(active)
 
     async def _offer(
         self, active: ActiveRequest, target: HandoverTarget, deadline: float
     ) -> HandOverReply | PeerUnavailable:
-        """Return the peer's answer; the same offer again is harmless."""
-        message = as_message(active)
+        """Offer a request until the peer replies; offers are idempotent."""
+        message = to_message(active)
         answer: Message | PeerUnavailable = PeerUnavailable(
             daemon=target.daemon, reason='no time left'
         )
-        for _ in range(OFFERS):
-            left = deadline - anyio.current_time()
-            if left <= 0:
+        for _ in range(OFFERS_PER_TARGET):
+            time_left = deadline - anyio.current_time()
+            if time_left <= 0:
                 break
             answer = await self._peers.call(
                 target.daemon,
                 message,
-                timeout_s=min(OFFER_TIMEOUT_S, left),
+                timeout_s=min(OFFER_TIMEOUT_S, time_left),
             )
             if isinstance(answer, HandOverReply):
                 return answer
         reason = getattr(answer, 'reason', 'another message')
         return PeerUnavailable(daemon=target.daemon, reason=str(reason))
 
-    async def _move(
+    async def _redirect_caller(
         self,
         active: ActiveRequest,
         target: HandoverTarget,
@@ -176,10 +180,10 @@
             tokens=len(active.tokens),
         )
 
-    async def _go_on_here(
+    async def _continue_here(
         self, active: ActiveRequest, target: HandoverTarget
     ) -> None:
-        offered = active.attempt
+        offered_attempt = active.attempt
         active.attempt += ATTEMPT_STRIDE
         self._serving.resume(active)
         log.info(
@@ -189,28 +193,30 @@
         )
         await self._peers.notify(
             target.daemon,
-            HandOverWithdrawn(request=active.request.id, attempt=offered),
+            HandOverWithdrawn(
+                request=active.request.id, attempt=offered_attempt
+            ),
         )
 
-    async def _take(
+    async def _accept(
         self, sender: DaemonId, message: HandOver
     ) -> HandOverReply:
-        """Go on with a peer's request here, unless this daemon stops."""
-        if self._is_leaving:
+        """Accept a stopping peer's request unless this daemon stops too."""
+        if self._is_stopping:
             return HandOverReply(reason='stops as well')
         configuration = self._in_force.current
-        request = as_request(message, configuration)
+        request = to_request(message, configuration)
         if request is None:
             return HandOverReply(reason='class or parameters not known here')
-        handed = HandedOver(
+        handed_over = HandedOver(
             request=request,
             tokens=tuple(message.tokens),
             attempt=message.attempt,
         )
         recorded = await self._record(request)
-        taken = await self._serving.take_over(handed, configuration)
-        if isinstance(taken, Refused):
-            return HandOverReply(reason=taken.message)
+        accepted = await self._serving.take_over(handed_over, configuration)
+        if isinstance(accepted, Refused):
+            return HandOverReply(reason=accepted.message)
         return HandOverReply(taken=True, recorded=recorded)
 
     async def _record(self, request: ModelRequest) -> bool:
@@ -221,10 +227,10 @@
         recorded = await self._journal.record(request)
         return not isinstance(recorded, Unavailable)
 
-    async def _drop(
+    async def _drop_copy(
         self, sender: DaemonId, message: HandOverWithdrawn
     ) -> None:
-        """Stop a copy that nobody was sent to."""
+        """Drop a copy to which no caller was redirected."""
         active = self._serving.registry.by_id.get(RequestId(message.request))
         if active is None or active.readers or active.has_ended:
             return
@@ -234,8 +240,8 @@
                 await self._journal.forget(active.request.id)
 
 
-def as_message(active: ActiveRequest) -> HandOver:
-    """Return the message that hands a request over."""
+def to_message(active: ActiveRequest) -> HandOver:
+    """Return the hand-over message of a request."""
     request = active.request
     return HandOver(
         request=request.id,
@@ -252,10 +258,10 @@
     )
 
 
-def as_request(
+def to_request(
     message: HandOver, configuration: Configuration
 ) -> ModelRequest | None:
-    """Return the request of a message, None if it cannot be served."""
+    """Return the request of a message, None if it cannot be served here."""
     work_class = configuration.classes.get(ClassName(message.work_class))
     try:
         parameters = orjson.loads(message.parameters or b'{}')
@@ -263,7 +269,7 @@
         return None
     if work_class is None or not isinstance(parameters, dict):
         return None
-    # The peer's clock is another one: only the time left is told.
+    # Clocks differ between daemons, so the message has the time left.
     deadline = anyio.current_time() + message.deadline_left_s
     return ModelRequest(
         id=RequestId(message.request),
--- a/packages/mimosamux-daemon/mimosamux_daemon/serving/journal.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/serving/journal.py
@@ -1,9 +1,10 @@
 """Journal of the accepted requests of durable classes.
 
-A daemon can die at any moment, and its VM keeps nothing. A request that
-was accepted would be lost with it, so it is recorded in the platform's
-table before it counts as accepted. Another daemon claims what a dead one
-left, in one transaction, so that only one of them goes on with it.
+A daemon can die at any moment, and its VM has no durable storage. So that
+accepted requests survive, each is recorded in the platform's table
+before it counts as accepted. After a daemon's death another daemon
+claims its rows in one transaction, so only one daemon continues the
+requests.
 """
 
 import uuid
@@ -28,47 +29,47 @@
 from mimosamux_daemon.serving.journal_batches import OpenBatches
 from mimosamux_daemon.serving.journal_rows import (
     EMPTY_BATCH,
-    BatchPlace,
+    BatchKey,
     BatchRow,
     JournalEntry,
     daemon_prefix,
     encode_batch,
+    format_batch_key,
     open_entries,
     parse_batch,
-    parse_place,
-    place_key,
+    parse_batch_key,
 )
 from mimosamux_daemon.serving.side_effect_orphans import Liveness
 
 log = get_log('journal')
 
-FORGET_PAUSE_S = 2.0
-"""Ended requests wait so long for a commit of new ones."""
-RECORD_S = 3.0
-"""Time after which a record that the store did not take fails."""
+FORGET_DELAY_S = 2.0
+"""Time that ended requests wait to share a commit with new ones."""
+RECORD_TIMEOUT_S = 3.0
+"""Time for which the write of a batch is retried."""
 RETRY_PAUSE_S = 0.1
-MOST_ENTRIES = 500
-"""Requests of one commit."""
-MOST_PROMPT_LENGTH = 256 * 1024
-"""Characters of the prompts of one commit, if it has several."""
-NOT_TRIED = Unavailable(reason='not tried', may_have_landed=False)
+MAX_BATCH_ENTRIES = 500
+"""Most requests in one commit."""
+MAX_BATCH_PROMPT_LENGTH = 256 * 1024
+"""Most characters of all prompts in a commit of several requests."""
+NOT_ATTEMPTED = Unavailable(reason='not tried', may_have_landed=False)
 CLAIM_PAGE_ROWS = 100
-CLAIM_TRIES = 3
+MAX_CLAIM_ATTEMPTS = 3
 
 
 @dataclass(kw_only=True, slots=True)
 class _Pending:
-    """A request that waits for its commit."""
+    """A request that waits to be committed."""
 
     entry: JournalEntry
     done: anyio.Event = field(default_factory=anyio.Event)
     failed: Unavailable | None = None
-    is_unwanted: bool = False
-    """The one who waited was cancelled: nobody will forget the entry."""
+    is_cancelled: bool = False
+    """The caller of `record` was cancelled, so it will not call `forget`."""
 
 
 class Journal:
-    """Records, forgets and claims requests; `run` makes the commits."""
+    """Records, forgets and claims requests; `run` commits the changes."""
 
     def __init__(
         self,
@@ -87,14 +88,14 @@
         self._pending: list[_Pending] = []
         self._added = anyio.Event()
         self._batches = OpenBatches(key_of=self._key)
-        self._void: set[str] = set()
-        """Batches that failed, and may land late all the same."""
-        self._unsettled_claims: set[str] = set()
+        self._failed_batches: set[str] = set()
+        """Failed batches whose writes may still take effect."""
+        self._unconfirmed_claims: set[str] = set()
 
     async def record(self, request: ModelRequest) -> None | Unavailable:
         """Record a request before it counts as accepted.
 
-        After a failure that may have landed, the entry is taken back in
+        If a failed write may have taken effect, the entry is revoked in
         the background.
         """
         left_s = request.deadline - anyio.current_time()
@@ -106,47 +107,47 @@
         try:
             await pending.done.wait()
         finally:
-            pending.is_unwanted = not pending.done.is_set()
+            pending.is_cancelled = not pending.done.is_set()
         return pending.failed
 
     async def forget(self, request: RequestId) -> None:
-        """Drop a request that has its outcome, with a later commit."""
-        self._batches.end(request)
+        """Remove an ended request in a later commit."""
+        self._batches.mark_ended(request)
 
     async def run(self) -> None:
-        """Commit what is recorded and forgotten, in groups."""
+        """Group-commit recorded and forgotten requests until cancelled."""
         while True:
-            with anyio.move_on_after(FORGET_PAUSE_S):
+            with anyio.move_on_after(FORGET_DELAY_S):
                 await self._added.wait()
             if self._pending:
                 await self._budget.wait()
                 await self._commit_pending()
-            elif self._batches.ended_writes(anyio.current_time()).writes:
+            elif self._batches.cleanup_writes(anyio.current_time()).writes:
                 await self._budget.wait()
                 await self._commit_ended()
-            await self._take_back()
+            await self._revoke_failed_batches()
 
     async def claim(
         self, dead: DaemonId
     ) -> tuple[ModelRequest, ...] | Unavailable:
-        """Take over what dead processes of a daemon left.
+        """Take over the open requests of dead incarnations of a daemon.
 
-        The rows move under this daemon's name in one transaction: of two
-        daemons that claim at once, one finds the rows changed. After
-        `Unavailable`, ask again: the claim may have landed.
+        One transaction moves the rows under this daemon's key prefix, so
+        of two concurrent claims one conflicts. After `Unavailable`, call
+        again: the claim may have taken effect.
         """
-        landed = await self._find_landed_claims()
-        if landed:
-            return self._rebase(landed)
-        for _ in range(CLAIM_TRIES):
+        recovered = await self._recover_claims()
+        if recovered:
+            return self._rebase(recovered)
+        for _ in range(MAX_CLAIM_ATTEMPTS):
             rows = await self._scan(daemon_prefix(dead))
             if isinstance(rows, Unavailable):
                 return rows
-            left = [row for row in rows if self._is_left(row)]
-            if not left:
+            claimable = [row for row in rows if self._is_claimable(row)]
+            if not claimable:
                 break
-            entries = open_entries(left)
-            outcome = await self._move(left, entries)
+            entries = open_entries(claimable)
+            outcome = await self._move_rows(claimable, entries)
             if isinstance(outcome, Unavailable):
                 return outcome
             if isinstance(outcome, Committed):
@@ -154,32 +155,32 @@
                 return self._rebase(entries)
         return ()
 
-    async def _move(
+    async def _move_rows(
         self, rows: Sequence[Row], entries: tuple[JournalEntry, ...]
     ) -> Committed | Conflict | Unavailable:
         name = _new_name()
-        written = await self._write_batch(
+        result = await self._write_batch(
             name,
             entries,
             checks=[Check(key=row.key, version=row.version) for row in rows],
             writes=[Write(key=row.key, value=None) for row in rows],
         )
-        if isinstance(written.outcome, Committed):
-            self._note_batch(name, entries, written)
-        elif written.may_have_landed:
-            self._unsettled_claims.add(name)
-        return written.outcome
-
-    async def _find_landed_claims(self) -> tuple[JournalEntry, ...]:
-        """Return entries of claims that landed though we were not told."""
+        if isinstance(result.outcome, Committed):
+            self._add_batch(name, entries, result)
+        elif result.may_have_landed:
+            self._unconfirmed_claims.add(name)
+        return result.outcome
+
+    async def _recover_claims(self) -> tuple[JournalEntry, ...]:
+        """Return entries of claims that took effect without an answer."""
         entries: tuple[JournalEntry, ...] = ()
-        for name in sorted(self._unsettled_claims):
+        for name in sorted(self._unconfirmed_claims):
             row = await self._table.read(self._key(name))
             batch = parse_batch(row.value) if isinstance(row, Row) else None
             if batch is not None:
-                self._unsettled_claims.discard(name)
-                written = _Written(may_have_landed=True)
-                self._note_batch(name, batch.entries, written)
+                self._unconfirmed_claims.discard(name)
+                result = _WriteResult(may_have_landed=True)
+                self._add_batch(name, batch.entries, result)
                 entries += batch.entries
         return entries
 
@@ -196,63 +197,63 @@
             if len(page) < CLAIM_PAGE_ROWS:
                 return rows
 
-    def _is_left(self, row: Row) -> bool:
-        place = parse_place(row.key)
-        if place is None:
+    def _is_claimable(self, row: Row) -> bool:
+        batch_key = parse_batch_key(row.key)
+        if batch_key is None:
             return False
-        if place.daemon == self._daemon:
-            return place.incarnation != self._incarnation
-        return self._liveness.is_dead(place.daemon, place.incarnation)
+        if batch_key.daemon == self._daemon:
+            return batch_key.incarnation != self._incarnation
+        return self._liveness.is_dead(batch_key.daemon, batch_key.incarnation)
 
     async def _commit_pending(self) -> None:
-        taken = self._take_pending()
-        entries = tuple(pending.entry for pending in taken)
+        group = self._next_group()
+        entries = tuple(pending.entry for pending in group)
         name = _new_name()
-        ended = self._batches.ended_writes(anyio.current_time())
-        written = await self._write_batch(
-            name, entries, checks=(), writes=ended.writes
+        cleanup = self._batches.cleanup_writes(anyio.current_time())
+        result = await self._write_batch(
+            name, entries, checks=(), writes=cleanup.writes
         )
-        failed = _as_failure(written)
+        failed = _as_failure(result)
         if failed is None:
-            self._batches.confirm(ended, anyio.current_time())
-            self._note_batch(name, entries, written)
-        elif written.may_have_landed:
-            self._void.add(name)
-        for pending in taken:
-            if pending.is_unwanted:
-                self._batches.end(pending.entry.request.id)
+            self._batches.apply_committed(cleanup, anyio.current_time())
+            self._add_batch(name, entries, result)
+        elif result.may_have_landed:
+            self._failed_batches.add(name)
+        for pending in group:
+            if pending.is_cancelled:
+                self._batches.mark_ended(pending.entry.request.id)
             pending.failed = failed
             pending.done.set()
 
-    def _take_pending(self) -> list[_Pending]:
+    def _next_group(self) -> list[_Pending]:
         count = length = 0
-        for pending in self._pending[:MOST_ENTRIES]:
+        for pending in self._pending[:MAX_BATCH_ENTRIES]:
             length += len(pending.entry.request.prompt)
-            if count and length > MOST_PROMPT_LENGTH:
+            if count and length > MAX_BATCH_PROMPT_LENGTH:
                 break
             count += 1
-        taken = self._pending[:count]
+        group = self._pending[:count]
         del self._pending[:count]
         if not self._pending:
             self._added = anyio.Event()
-        return taken
+        return group
 
     async def _commit_ended(self) -> None:
-        ended = self._batches.ended_writes(anyio.current_time())
-        outcome = await self._table.commit([], ended.writes)
+        cleanup = self._batches.cleanup_writes(anyio.current_time())
+        outcome = await self._table.commit([], cleanup.writes)
         if isinstance(outcome, Committed):
-            self._batches.confirm(ended, anyio.current_time())
+            self._batches.apply_committed(cleanup, anyio.current_time())
 
-    def _note_batch(
+    def _add_batch(
         self,
         name: str,
         entries: Iterable[JournalEntry],
-        written: '_Written',
+        result: '_WriteResult',
     ) -> None:
-        self._batches.note(
+        self._batches.add(
             name,
             (entry.request.id for entry in entries),
-            is_doubtful=written.may_have_landed,
+            may_land_twice=result.may_have_landed,
         )
 
     async def _write_batch(
@@ -262,41 +263,44 @@
         *,
         checks: Sequence[Check],
         writes: Sequence[Write],
-    ) -> '_Written':
-        """Write a batch; a lost answer is settled by writing it again."""
+    ) -> '_WriteResult':
+        """Write a batch; retry it if the answer is lost."""
         key = self._key(name)
         value = encode_batch(BatchRow(entries=entries))
         all_checks = [Check(key=key, version=0), *checks]
         all_writes = [Write(key=key, value=value), *writes]
-        give_up_at = anyio.current_time() + RECORD_S
-        written = _Written()
+        give_up_at = anyio.current_time() + RECORD_TIMEOUT_S
+        result = _WriteResult()
         while True:
-            written.outcome = await self._table.commit(all_checks, all_writes)
-            if isinstance(written.outcome, Conflict):
-                written.outcome = await self._find_own(key, written.outcome)
-            if not isinstance(written.outcome, Unavailable):
-                return written
-            written.may_have_landed |= written.outcome.may_have_landed
+            result.outcome = await self._table.commit(all_checks, all_writes)
+            if isinstance(result.outcome, Conflict):
+                result.outcome = await self._find_own_commit(
+                    key, result.outcome
+                )
+            if not isinstance(result.outcome, Unavailable):
+                return result
+            result.may_have_landed |= result.outcome.may_have_landed
             if anyio.current_time() >= give_up_at:
-                return written
+                return result
             await anyio.sleep(RETRY_PAUSE_S)
 
-    async def _find_own(
+    async def _find_own_commit(
         self, key: str, conflict: Conflict
     ) -> Committed | Conflict | Unavailable:
-        """Return whether an earlier try of a write has landed."""
+        """Return the commit of an earlier attempt, else the conflict."""
         row = await self._table.read(key)
         if isinstance(row, Row):
             return Committed(versions={key: row.version})
         return conflict if row is None else row
 
-    async def _take_back(self) -> None:
-        """Empty the rows of failed batches, or take their place.
+    async def _revoke_failed_batches(self) -> None:
+        """Write empty rows under the keys of failed batches.
 
-        Their requests were not accepted. A row that landed all the same
-        would have another daemon run them after this one's death.
+        Their requests were not accepted. If such a write took effect, or
+        did so late, another daemon would run the requests after this
+        daemon's death.
         """
-        for name in sorted(self._void):
+        for name in sorted(self._failed_batches):
             row = await self._table.read(self._key(name))
             if isinstance(row, Unavailable):
                 return
@@ -309,7 +313,7 @@
                 [Write(key=self._key(name), value=EMPTY_BATCH)],
             )
             if isinstance(outcome, Committed):
-                self._void.discard(name)
+                self._failed_batches.discard(name)
 
     def _rebase(
         self, entries: Iterable[JournalEntry]
@@ -318,8 +322,8 @@
         return tuple(entry.rebase(now) for entry in entries)
 
     def _key(self, name: str) -> str:
-        return place_key(
-            BatchPlace(
+        return format_batch_key(
+            BatchKey(
                 daemon=self._daemon,
                 incarnation=self._incarnation,
                 name=name,
@@ -328,24 +332,22 @@
 
 
 @dataclass(kw_only=True, slots=True)
-class _Written:
-    """How the write of a batch went."""
+class _WriteResult:
+    """Result of the write of a batch."""
 
-    outcome: Committed | Conflict | Unavailable = NOT_TRIED
+    outcome: Committed | Conflict | Unavailable = NOT_ATTEMPTED
     may_have_landed: bool = False
-    """Some try of it may have landed, or may land yet."""
+    """An attempt may have taken effect or may still do so."""
 
 
 def _new_name() -> str:
     return uuid.uuid4().hex
 
 
-def _as_failure(written: _Written) -> Unavailable | None:
-    if isinstance(written.outcome, Conflict):
-        # Names are unique, so nobody else can have written this row.
+def _as_failure(result: _WriteResult) -> Unavailable | None:
+    if isinstance(result.outcome, Conflict):
+        # Batch names are unique: no other writer can have this key.
         return Unavailable(reason='journal row taken', may_have_landed=False)
-    if isinstance(written.outcome, Unavailable):
-        return replace(
-            written.outcome, may_have_landed=written.may_have_landed
-        )
+    if isinstance(result.outcome, Unavailable):
+        return replace(result.outcome, may_have_landed=result.may_have_landed)
     return None
--- a/packages/mimosamux-daemon/mimosamux_daemon/serving/journal_batches.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/serving/journal_batches.py
@@ -1,4 +1,8 @@
-"""What a daemon knows of its own rows in the journal."""
+"""Bookkeeping of a daemon's own journal rows.
+
+The journal deletes a batch row once all its requests have ended. Ended
+requests of other rows are listed in the daemon's row of ended requests.
+"""
 
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
@@ -12,106 +16,115 @@
     encode_done,
 )
 
-DONE_PAUSE_S = 10.0
-"""Least time between two writes of the row of ended requests.
+DONE_ROW_INTERVAL_S = 10.0
+"""Shortest time between two writes of the row of ended requests.
 
-A daemon that claims this one's rows runs again what ended since. That
-costs tokens and no more, and the row would be a third of all writes.
+A daemon that claims this one's rows repeats the requests that ended
+since the last write. That costs only tokens, while a write at each commit
+would make this row a third of all writes.
 """
 
 
 @dataclass(kw_only=True, slots=True)
 class _Batch:
+    """A row of this daemon: its open and its ended requests."""
+
     open: set[RequestId]
     ended: set[RequestId] = field(default_factory=set)
-    is_doubtful: bool = False
-    """A write of the row may land a second time."""
+    may_land_twice: bool = False
+    """A retried write of the row may take effect a second time."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class EndedWrites:
-    """Writes for what has ended, and what they settle once committed."""
+class CleanupWrites:
+    """Writes that remove ended requests, and their effect once committed."""
 
     writes: tuple[Write, ...] = ()
-    empty: tuple[str, ...] = ()
-    """Batches of which every request has ended."""
-    lists_done: bool = False
+    ended_batches: tuple[str, ...] = ()
+    """Names of the batches whose requests have all ended."""
+    writes_done_row: bool = False
+    """Whether the writes include the row of ended requests."""
     ended_count: int = 0
+    """Requests that had ended when the writes were built."""
 
 
 class OpenBatches:
-    """The rows of this daemon that stand, by name."""
+    """Batch rows of this daemon that are still in the table, by name."""
 
     def __init__(self, *, key_of: Callable[[str], str]) -> None:
         self._key_of = key_of
         self._by_name: dict[str, _Batch] = {}
         self._names_by_request: dict[RequestId, list[str]] = {}
-        """A request can stand in two rows: recorded here after a hand-over,
-        and claimed from the daemon that handed it over."""
+        """A request can be in two rows: one recorded here after a hand-over,
+        one claimed from the daemon that handed the request over."""
         self._ended_count = self._listed_count = 0
         self._has_done_row = False
-        self._done_due = 0.0
+        self._done_row_due = 0.0
 
-    def note(
-        self, name: str, requests: Iterable[RequestId], *, is_doubtful: bool
+    def add(
+        self, name: str, requests: Iterable[RequestId], *, may_land_twice: bool
     ) -> None:
-        """Note a row that was written."""
+        """Add a row that was written."""
         ids = set(requests)
-        self._by_name[name] = _Batch(open=ids, is_doubtful=is_doubtful)
+        self._by_name[name] = _Batch(open=ids, may_land_twice=may_land_twice)
         for request in ids:
             self._names_by_request.setdefault(request, []).append(name)
 
-    def end(self, request: RequestId) -> None:
-        """Note that a request has its outcome."""
+    def mark_ended(self, request: RequestId) -> None:
+        """Mark a request as ended in all its rows."""
         for name in self._names_by_request.pop(request, ()):
             batch = self._by_name[name]
             batch.open.discard(request)
             batch.ended.add(request)
             self._ended_count += 1
 
-    def ended_writes(self, now: float) -> EndedWrites:
-        """Return the writes for what has ended, none if there are none."""
-        empty = tuple(
+    def cleanup_writes(self, now: float) -> CleanupWrites:
+        """Return the writes that remove ended requests, if any are due."""
+        ended_batches = tuple(
             name for name, batch in self._by_name.items() if not batch.open
         )
-        writes = [self._end_batch(name) for name in empty]
-        lists_done = now >= self._done_due and (
+        writes = [self._batch_removal(name) for name in ended_batches]
+        writes_done_row = now >= self._done_row_due and (
             self._ended_count > self._listed_count
             or (self._has_done_row and not self._by_name)
         )
-        if lists_done:
-            writes.append(self._list_done())
-        return EndedWrites(
+        if writes_done_row:
+            writes.append(self._done_row_write())
+        return CleanupWrites(
             writes=tuple(writes),
-            empty=empty,
-            lists_done=lists_done,
+            ended_batches=ended_batches,
+            writes_done_row=writes_done_row,
             ended_count=self._ended_count,
         )
 
-    def confirm(self, ended: EndedWrites, now: float) -> None:
-        """Note that the writes were committed."""
-        for name in ended.empty:
+    def apply_committed(self, cleanup: CleanupWrites, now: float) -> None:
+        """Apply writes that were committed."""
+        for name in cleanup.ended_batches:
             del self._by_name[name]
-        if ended.lists_done:
-            self._done_due = now + DONE_PAUSE_S
-            self._listed_count = ended.ended_count
+        if cleanup.writes_done_row:
+            self._done_row_due = now + DONE_ROW_INTERVAL_S
+            self._listed_count = cleanup.ended_count
             self._has_done_row = any(
                 batch.ended for batch in self._by_name.values()
             )
 
-    def _end_batch(self, name: str) -> Write:
-        # Where a row was deleted, a write that is still on its way could
-        # land once more, and its requests would be run again.
-        doubtful = self._by_name[name].is_doubtful
-        value = EMPTY_BATCH if doubtful else None
+    def _batch_removal(self, name: str) -> Write:
+        # After a deletion, a delayed write could recreate the row, and its
+        # requests would run again. An empty row makes it conflict.
+        may_reappear = self._by_name[name].may_land_twice
+        value = EMPTY_BATCH if may_reappear else None
         return Write(key=self._key_of(name), value=value)
 
-    def _list_done(self) -> Write:
-        ended = [
+    def _done_row_write(self) -> Write:
+        ended_requests = [
             request
             for batch in self._by_name.values()
             if batch.open
             for request in sorted(batch.ended)
         ]
-        done = encode_done(DoneRow(requests=tuple(ended))) if ended else None
+        done = (
+            encode_done(DoneRow(requests=tuple(ended_requests)))
+            if ended_requests
+            else None
+        )
         return Write(key=self._key_of(DONE_NAME), value=done)
--- a/packages/mimosamux-daemon/mimosamux_daemon/serving/journal_rows.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/serving/journal_rows.py
@@ -1,8 +1,8 @@
 """Rows of the journal of accepted requests.
 
-A daemon writes the requests of one group commit into one row, and the
-ids of those that ended meanwhile into another, so that the rows written
-grow with the commits and not with the requests.
+A daemon writes the requests of one group commit to one row, and the ids
+of requests that have ended to another. So the number of rows written
+grows with the number of commits, not of requests.
 """
 
 from collections.abc import Iterable
@@ -16,21 +16,22 @@
 
 JOURNAL_PREFIX = 'journal/'
 DONE_NAME = 'done'
+"""Name, in place of a batch name, of the row of ended requests."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class JournalEntry:
-    """An accepted request, with all that is needed to run it again."""
+    """An accepted request with everything needed to run it again."""
 
     request: ModelRequest
     time_left_s: float
-    """Time to its deadline when it was recorded."""
+    """Seconds to its deadline when it was recorded."""
 
     def rebase(self, now: float) -> ModelRequest:
-        """Return the request with its deadline by this process's clock.
+        """Return the request with its deadline on this process's clock.
 
-        The time since the record is not known here, so it is granted
-        again: an answer that is late costs less than a missing one.
+        The time since the request was recorded is unknown here and is not
+        subtracted: a late answer costs less than a missing one.
         """
         deadline_s = self.request.work_class.deadline_s
         return replace(
@@ -47,14 +48,14 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class DoneRow:
-    """Requests of rows that stand which have ended since."""
+    """Ended requests of batch rows that are still in the table."""
 
     requests: tuple[RequestId, ...]
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class BatchPlace:
-    """Which batch a row's key names."""
+class BatchKey:
+    """Parsed key of a journal row."""
 
     daemon: DaemonId
     incarnation: int
@@ -72,40 +73,40 @@
 
 
 def daemon_prefix(daemon: DaemonId) -> str:
-    """Return the prefix of all rows of a daemon."""
+    """Return the key prefix of a daemon's rows."""
     return f'{JOURNAL_PREFIX}{daemon}/'
 
 
-def place_key(place: BatchPlace) -> str:
-    """Return the key of a batch's row."""
-    prefix = daemon_prefix(place.daemon)
-    return f'{prefix}{place.incarnation}/{place.name}'
+def format_batch_key(batch_key: BatchKey) -> str:
+    """Return the row key of a batch."""
+    prefix = daemon_prefix(batch_key.daemon)
+    return f'{prefix}{batch_key.incarnation}/{batch_key.name}'
 
 
-def parse_place(key: str) -> BatchPlace | None:
-    """Return what a key names, None if it is no key of the journal."""
+def parse_batch_key(key: str) -> BatchKey | None:
+    """Parse a row key; return None if it is not a journal key."""
     daemon, _, rest = key.removeprefix(JOURNAL_PREFIX).rpartition('/')
     daemon, _, incarnation = daemon.rpartition('/')
     if not (key.startswith(JOURNAL_PREFIX) and daemon and rest):
         return None
     if not incarnation.lstrip('-').isdecimal():
         return None
-    return BatchPlace(
+    return BatchKey(
         daemon=DaemonId(daemon), incarnation=int(incarnation), name=rest
     )
 
 
 def encode_batch(batch: BatchRow) -> bytes:
-    """Return the value of a batch's row."""
+    """Return the row value of a batch."""
     return _BatchModel(batch=batch).model_dump_json().encode()
 
 
 EMPTY_BATCH = encode_batch(BatchRow(entries=()))
-"""Value of a row that holds the place of a batch and no request."""
+"""Row value without requests; keeps the key of a batch occupied."""
 
 
 def parse_batch(value: bytes) -> BatchRow | None:
-    """Return a batch, None if this daemon cannot read it."""
+    """Return the batch of a row value, None if it cannot be parsed."""
     try:
         return _BatchModel.model_validate_json(value).batch
     except pydantic.ValidationError:
@@ -113,12 +114,12 @@
 
 
 def encode_done(done: DoneRow) -> bytes:
-    """Return the value of the row of ended requests."""
+    """Return the row value for ended requests."""
     return _DoneModel(done=done).model_dump_json().encode()
 
 
 def parse_done(value: bytes) -> DoneRow:
-    """Return the ended requests; an unreadable row names none."""
+    """Return the ended requests; none if the value cannot be parsed."""
     try:
         return _DoneModel.model_validate_json(value).done
     except pydantic.ValidationError:
@@ -126,12 +127,12 @@
 
 
 def open_entries(rows: Iterable[Row]) -> tuple[JournalEntry, ...]:
-    """Return the entries of a daemon's rows that have not ended."""
+    """Return the entries of a daemon's rows whose requests are open."""
     done: set[RequestId] = set()
     entries: list[JournalEntry] = []
     for row in rows:
-        place = parse_place(row.key)
-        if place is not None and place.name == DONE_NAME:
+        batch_key = parse_batch_key(row.key)
+        if batch_key is not None and batch_key.name == DONE_NAME:
             done.update(parse_done(row.value).requests)
             continue
         batch = parse_batch(row.value)
