--- a/packages/mimosamux-daemon/mimosamux_daemon/control/capacity.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/control/capacity.py
@@ -15,6 +15,7 @@
 from mimosamux_daemon.domain.work import WorkClass
 
 MAX_REPLICAS = 100_000
+"""Upper limit of the search for a sufficient number of replicas."""
 PREFILL_P95_FACTOR = 3.0
 """Ratio of the 95th percentile to the mean of the wait for prefill."""
 
@@ -43,7 +44,9 @@
     rate: float
     prefill_s: float
     slot_s: float
+    """Time for which a request occupies a slot."""
     target_s: float
+    """Target for the time to the first token."""
     priority: int
     is_guaranteed_after_loss: bool
 
@@ -101,6 +104,7 @@
     *,
     is_after_loss: bool,
 ) -> float:
+    """Search the smallest sufficient number by doubling and bisection."""
     low, high = 0, 1
     while high < MAX_REPLICAS and not _meets_targets(
         high, flows, rate, policy, is_after_loss
@@ -122,6 +126,10 @@
     policy: CapacityPolicy,
     is_after_loss: bool,
 ) -> bool:
+    """Return whether a number of replicas meets the targets.
+
+    After a loss, only the classes that keep their target then count.
+    """
     slots = replicas * rate.slots
     slot_utilisation = sum(flow.rate * flow.slot_s for flow in flows) / slots
     prefill_utilisation = (
--- a/packages/mimosamux-daemon/mimosamux_daemon/control/demand.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/control/demand.py
@@ -50,6 +50,7 @@
     answer_tokens: float = 0.0
 
     def decay(self, now: float, window_s: float) -> None:
+        """Decay the arrival rate to the present."""
         self.arrivals_per_s *= math.exp((self.updated_at - now) / window_s)
         self.updated_at = now
 
--- a/packages/mimosamux-daemon/mimosamux_daemon/control/order_rows.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/control/order_rows.py
@@ -87,7 +87,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class OrderChange:
-    """New content of an order's row, with the details for the audit."""
+    """New content of an order's row, with details for the audit trail."""
 
     order: VMOrder
     before: str = ''
--- a/packages/mimosamux-daemon/mimosamux_daemon/control/placement.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/control/placement.py
@@ -13,7 +13,9 @@
 from mimosamux_daemon.domain.vms import Market
 
 GRID_POINTS = 16
+"""Resolution of each grid search, in points per range."""
 EPSILON = 1e-9
+"""Tolerance for rounding errors in numbers of replicas and in costs."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -51,25 +53,32 @@
     offer: Offer
     price_per_replica: float
     weight: float
+    """Capacity of one VM in reference replicas."""
     limit: float
+    """Maximum number of VMs."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class _Selection:
+    """VMs selected by price, with their cost and capacity."""
+
     counts: Mapping[Offer, int]
     cost: float
     replicas: float
     max_per_data_centre: float
+    """Largest number of replicas in one data centre."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Placement:
-    """Number of VMs by offer, and their total capacity and cost."""
+    """Number of VMs by offer, and what they provide and cost."""
 
     counts: Mapping[Offer, int]
     replicas: float
+    """Total capacity in reference replicas."""
     meets_need: bool
     cost: float
+    """Cost per hour, with running VMs at the price reduced by stickiness."""
 
 
 def place(
@@ -231,6 +240,7 @@
     required_after_loss: float,
     policy: PlacementPolicy,
 ) -> bool:
+    """Return whether reclaimable VMs suffice before and after a loss."""
     if selected.replicas + EPSILON < replicas:
         return False
     share = math.ceil(policy.max_reclaimed_share * selected.replicas - EPSILON)
--- a/packages/mimosamux-daemon/mimosamux_daemon/control/planning.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/control/planning.py
@@ -186,6 +186,7 @@
 
 
 def _reference_rate(inputs: PlanInput, spec: ModelSpec) -> ServiceRate:
+    """Return the known rate of the model's first machine class with one."""
     known_rates = [
         inputs.rates[spec.name, machine_class]
         for machine_class in spec.machine_classes
@@ -195,6 +196,7 @@
 
 
 def _capacity_weights(inputs: PlanInput, spec: ModelSpec) -> dict[str, float]:
+    """Return the capacity of each machine class in reference replicas."""
     reference = _reference_rate(inputs, spec)
     return {
         machine_class: _capacity_weight(
--- a/packages/mimosamux-daemon/mimosamux_daemon/control/planning_exchange.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/control/planning_exchange.py
@@ -88,7 +88,9 @@
         set of refused offers changes."""
         self._data_centre = data_centre
         self.latest_own_summary: PlanningSummary | None = None
+        """Newest summary from the planner of this data centre."""
         self._unforwarded: set[str] = set()
+        """Data centres whose summaries the planner has not yet received."""
         if peers is not None:
             peers.handle(PlanTold, self._handle_plan)
             peers.handle(PlanningSummary, self._handle_summary)
@@ -347,6 +349,7 @@
 
 
 def _version(summary: PlanningSummary) -> tuple[int, int]:
+    """Return a key that orders the summaries of one data centre by age."""
     return summary.fencing, summary.sequence
 
 
--- a/packages/mimosamux-daemon/mimosamux_daemon/control/platform_seeds.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/control/platform_seeds.py
@@ -10,6 +10,7 @@
 
 POLL_S = 60.0
 FIRST_POLL_S = 2.0
+"""Poll interval until the platform lists a daemon."""
 TIMEOUT_S = 2.0
 LIST_LIMIT = 64
 """Maximum number of listed daemons; a few suffice to discover all."""
--- a/packages/mimosamux-daemon/mimosamux_daemon/control/steps.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/control/steps.py
@@ -23,6 +23,7 @@
 """Share of an offer's VMs that are replaced at the same time when the
 model's version changes."""
 EPSILON = 1e-9
+"""Tolerance for rounding errors in costs and numbers of replicas."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -101,6 +102,11 @@
 def _list_missing(
     plan: Plan, state: ObservedState, configuration: Configuration
 ) -> Iterator[WantedVM]:
+    """Return the VMs that the plan lacks, in the same order everywhere.
+
+    In the planner's own data centre, VMs of an outdated version count as
+    missing, and the surge share limits the replacements that run at once.
+    """
     up_to_date: Counter[ModelOffer] = Counter()
     running: Counter[ModelOffer] = Counter(state.running)
     for order in state.own:
@@ -140,6 +146,7 @@
     configuration: Configuration,
     policy: PlanningPolicy,
 ) -> Iterator[VMOrder]:
+    """Return the surplus VMs that can stop without missing the need."""
     live = Counter(state.live_counts)
     for order in _list_surplus(plan, state, configuration):
         key = (order.model, order.offer)
