--- a/benchmarks/bench_routing.py
+++ b/benchmarks/bench_routing.py
@@ -25,7 +25,7 @@
 from mimosamux_daemon.serving.admission import AdmissionPolicy
 from mimosamux_daemon.serving.fair_shares import FairShares
 from mimosamux_daemon.serving.fleet import Fleet
-from mimosamux_daemon.serving.prefix_cache import PrefixCache, hash_prompt
+from mimosamux_daemon.serving.prefix_cache import PrefixCacheIndex, hash_prompt
 from mimosamux_daemon.serving.routing import Router
 from thrift.TSerialization import serialize
 
@@ -366,7 +366,7 @@
     rows = []
     for entries in (50_000, 200_000):
         tracemalloc.start()
-        cache = PrefixCache(max_entries=entries)
+        cache = PrefixCacheIndex(max_entries=entries)
         rng = random.Random(1)
         for number in range(375):
             blocks = [rng.getrandbits(64) for _ in range(entries // 375)]
--- a/packages/mimosamux-daemon/mimosamux_daemon/control/digests.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/control/digests.py
@@ -166,7 +166,7 @@
                 _write_capacity(item, capacity_of(state))
             keys = self._fleet.cache.keys(id_)
             item.stored = pack_keys(sample_keys(keys, keys_each))
-            item.doubtful = self._fleet.cache.has_doubt(id_)
+            item.doubtful = self._fleet.cache.has_event_gap(id_)
             _copy_request_counts(item, item_by_key.get(item.endpoint))
             item_by_key[item.endpoint] = item
         return FleetDigest(
@@ -214,7 +214,7 @@
             evicted = pack_keys(
                 key for key in cache_changes.evicted if not key & mask
             )
-            doubtful = self._fleet.cache.has_doubt(id_)
+            doubtful = self._fleet.cache.has_event_gap(id_)
             changed = self._sent_doubt_by_id.get(id_, False) != doubtful
             if stored is None and evicted is None and not changed:
                 continue
@@ -252,7 +252,7 @@
         if item.evicted:
             fleet.cache.discard(id_, unpack_keys(item.evicted))
         if item.doubtful is not None:
-            fleet.cache.set_doubt(id_, doubtful=item.doubtful)
+            fleet.cache.set_event_gap(id_, has_gap=item.doubtful)
 
 
 def _apply_report(
--- a/packages/mimosamux-daemon/mimosamux_daemon/serving/estimates.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/serving/estimates.py
@@ -1,4 +1,4 @@
-"""Estimates of the first token and of the cost, for each candidate."""
+"""Estimates of time to first token and cost for candidate endpoints."""
 
 import math
 from collections.abc import Callable, Iterable
@@ -16,7 +16,7 @@
 from mimosamux_daemon.serving.load import DEFAULT_DECODE_INTERVAL_S
 from mimosamux_daemon.serving.prefix_cache import (
     BYTES_PER_TOKEN,
-    Level,
+    PrefixMatch,
     hash_prompt,
 )
 from mimosamux_daemon.serving.prices import (
@@ -29,17 +29,20 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class PoolCosts:
-    """What the place of an endpoint adds to its estimates."""
+    """Inputs of an estimate that all endpoints of a pool share."""
 
     round_trip_s: float
+    """Network round trip to the pool's data centre."""
     is_near: bool
-    money_weight: float
+    price_weight: float
+    """Cost of a second of engine time."""
     recompute_weight: float
+    """Cost of a prompt token to compute; a class's weight multiplies it."""
 
 
 @dataclass(slots=True)
 class Candidate:
-    """An endpoint with its estimate; made many times a decision."""
+    """An endpoint and its estimates; not frozen, as decisions make many."""
 
     state: EndpointState
     first_token_s: float
@@ -50,16 +53,19 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Prompt:
-    """A prompt as the choice sees it."""
+class MatchedPrompt:
+    """Size of a prompt and its matches in prefix caches."""
 
     tokens: float
     blocks: tuple[int, ...]
-    levels: tuple[Level, ...]
+    matches: tuple[PrefixMatch, ...]
 
 
 class Estimator:
-    """Estimates candidates for one request after another."""
+    """Estimates the candidate endpoints of a request.
+
+    The three weights are described in `RoutingPolicy`.
+    """
 
     def __init__(
         self,
@@ -68,35 +74,37 @@
         prices: PriceBook,
         distances: Distances,
         configuration: Callable[[], Configuration],
-        unsure: float,
-        kept_slots: float,
+        unreported_weight: float,
+        reserved_slots: float,
         wait_weight: float,
     ) -> None:
         self._fleet = fleet
         self._prices = prices
         self._distances = distances
         self._configuration = configuration
-        self._unsure = unsure
-        self._kept_slots = kept_slots
+        self._unreported_weight = unreported_weight
+        self._reserved_slots = reserved_slots
         self._wait_weight = wait_weight
 
-    def read(self, request: ModelRequest, answer_tokens: int) -> Prompt:
-        """Return the prompt with what is known of it in caches."""
+    def match_prompt(
+        self, request: ModelRequest, answer_tokens: int
+    ) -> MatchedPrompt:
+        """Return the size of a prompt and the endpoints that hold prefixes."""
         data = request.prompt.encode()
         blocks = hash_prompt(data)
-        return Prompt(
+        return MatchedPrompt(
             tokens=len(data) / BYTES_PER_TOKEN + answer_tokens,
             blocks=blocks,
-            levels=self._fleet.cache.match(blocks),
+            matches=self._fleet.cache.match(blocks),
         )
 
     def estimate(
         self,
         states: Iterable[EndpointState],
         request: ModelRequest,
-        prompt: Prompt,
+        prompt: MatchedPrompt,
     ) -> list[Candidate]:
-        """Return a candidate for each endpoint."""
+        """Return a candidate with its estimates for each endpoint."""
         now = anyio.current_time()
         service_s = self._fleet.service_times.of_model(
             request.model,
@@ -120,14 +128,17 @@
         return PoolCosts(
             round_trip_s=2 * one_way_s,
             is_near=self._distances.is_near(pool.data_centre),
-            money_weight=weights.cost_weight * self._prices.relative(pool),
+            price_weight=weights.cost_weight * self._prices.relative(pool),
             recompute_weight=weights.recompute_weight / 1000,
         )
 
-    def work_of(
-        self, candidate: Candidate, request: ModelRequest, prompt: Prompt
+    def estimate_work(
+        self,
+        candidate: Candidate,
+        request: ModelRequest,
+        prompt: MatchedPrompt,
     ) -> PromptWork:
-        """Return what the request gives the endpoint to do."""
+        """Return the work of the request at the candidate's endpoint."""
         load = candidate.state.load
         uncached = max(prompt.tokens - candidate.cached_tokens, 1.0)
         prefill_s = uncached / load.prefill_tokens_per_s
@@ -148,24 +159,26 @@
         self,
         state: EndpointState,
         request: ModelRequest,
-        prompt: Prompt,
+        prompt: MatchedPrompt,
         now: float,
         service_s: float,
         costs: PoolCosts,
     ) -> Candidate:
         load = state.load
         cached = self._fleet.cache.cached_tokens(
-            state.endpoint.id, prompt.levels
+            state.endpoint.id, prompt.matches
         )
         uncached = max(prompt.tokens - cached, 1.0)
         prefill_s = uncached / load.prefill_tokens_per_s
-        seen = load.estimate(now)
-        unreported = self._unsure * math.sqrt(seen.unreported_requests)
-        unsure_s = unreported * prefill_s
-        occupied = seen.occupied + unreported
+        load_now = load.estimate(now)
+        unreported = self._unreported_weight * math.sqrt(
+            load_now.unreported_requests
+        )
+        unreported_s = unreported * prefill_s
+        occupied = load_now.occupied + unreported
         if not state.is_own:
-            occupied += self._kept_slots * load.slots
-        wait_s = seen.backlog_s
+            occupied += self._reserved_slots * load.slots
+        wait_s = load_now.backlog_s
         if occupied > load.slots - 1:
             slot_s = state.slot_wait_s(now, service_s, occupied=occupied)
             wait_s = max(wait_s, slot_s)
@@ -174,13 +187,13 @@
         first_token_s = (
             costs.round_trip_s
             + wait_s
-            + unsure_s
+            + unreported_s
             + prefill_s
             + load.decode_interval_s
         )
         cost = (
-            self._wait_weight * (wait_s + unsure_s)
-            + costs.money_weight * (prefill_s + decode_s)
+            self._wait_weight * (wait_s + unreported_s)
+            + costs.price_weight * (prefill_s + decode_s)
             + costs.recompute_weight * recompute
         )
         return Candidate(
--- a/packages/mimosamux-daemon/mimosamux_daemon/serving/fleet.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/serving/fleet.py
@@ -22,7 +22,7 @@
     UnreportedWork,
 )
 from mimosamux_daemon.serving.load import SentWork
-from mimosamux_daemon.serving.prefix_cache import PrefixCache
+from mimosamux_daemon.serving.prefix_cache import PrefixCacheIndex
 from mimosamux_daemon.serving.prices import CapacityPool, pool_of
 from mimosamux_daemon.serving.service_times import (
     ServiceTimes,
@@ -54,9 +54,9 @@
     work, so routing does not have to skip the others.
     """
 
-    def __init__(self, *, cache: PrefixCache | None = None) -> None:
+    def __init__(self, *, cache: PrefixCacheIndex | None = None) -> None:
         self.by_id: dict[EndpointId, EndpointState] = {}
-        self.cache = PrefixCache() if cache is None else cache
+        self.cache = PrefixCacheIndex() if cache is None else cache
         self.service_times = ServiceTimes()
         self.changed = anyio.Event()
         """Set, and replaced by a new event, when endpoints come or go."""
@@ -223,7 +223,7 @@
     def apply_cache_event(self, event: CacheEvent) -> None:
         """Apply a cache event; ignore those of unknown endpoints."""
         if event.endpoint in self.by_id:
-            self.cache.take(event)
+            self.cache.apply(event)
 
     def take_unreported(self) -> dict[EndpointId, UnreportedWork]:
         """Return and reset the work sent since the last call."""
--- a/packages/mimosamux-daemon/mimosamux_daemon/serving/prefix_cache.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/serving/prefix_cache.py
@@ -1,8 +1,8 @@
-"""Which prompt prefixes endpoints hold in their cache, as far as known.
+"""Index of the prompt prefixes that endpoints likely hold in their caches.
 
-A prompt is cut into blocks of bytes and each block's hash is seeded with
-the hash before it, so that one hash stands for the whole prefix up to
-there. docs/PROTOCOLS.md states the format for engines.
+A prompt is split into blocks of bytes. The hash of each block is seeded
+with the hash of the previous one, so it identifies the prefix that ends
+with the block. docs/PROTOCOLS.md specifies the format for engines.
 """
 
 import random
@@ -17,26 +17,29 @@
 BLOCK_BYTES = 256
 """Bytes of the canonical prompt (UTF-8) in one block."""
 BYTES_PER_TOKEN = 4
-"""Bytes of prompt that count as one token in estimates."""
+"""Bytes of a prompt per token, as estimates assume."""
 BLOCK_TOKENS = BLOCK_BYTES // BYTES_PER_TOKEN
 MAX_PROMPT_BLOCKS = 512
-"""Longer prompts are looked up by their first blocks alone."""
+"""Blocks of a prompt that are hashed; later ones are ignored."""
 KEY_MASK = (1 << 40) - 1
-"""Kept bits of a hash: 200,000 entries and a prompt of 128 blocks find
-a wrong entry once in 43,000 prompts, and then only misjudge a choice."""
+"""Bits of a hash that are kept as its key.
+
+With 200,000 entries, one prompt of 128 blocks in 43,000 matches a wrong
+entry, which only makes the choice of an endpoint less accurate.
+"""
 MAX_ENTRIES = 200_000
-"""Entries that a daemon keeps over all endpoints."""
+"""Entries that a daemon keeps, over all endpoints."""
 MIN_ENTRIES_PER_ENDPOINT = 64
-DOUBTFUL_SHARE = 0.5
-"""Share of a match that counts after events were lost."""
+GAP_DISCOUNT = 0.5
+"""Factor on the tokens of a match while cache events are missing."""
 
 
 def hash_prompt(prompt: bytes) -> tuple[int, ...]:
-    """Return the chained hash of each whole block of a prompt."""
+    """Return the chained hashes of the complete blocks of a prompt."""
     hashed = []
     seed = 0
-    whole = min(len(prompt) // BLOCK_BYTES, MAX_PROMPT_BLOCKS)
-    for start in range(0, whole * BLOCK_BYTES, BLOCK_BYTES):
+    complete = min(len(prompt) // BLOCK_BYTES, MAX_PROMPT_BLOCKS)
+    for start in range(0, complete * BLOCK_BYTES, BLOCK_BYTES):
         block = prompt[start : start + BLOCK_BYTES]
         seed = xxhash.xxh64_intdigest(block, seed)
         hashed.append(seed)
@@ -44,8 +47,8 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Level:
-    """A prefix of a prompt that some endpoints are known to hold."""
+class PrefixMatch:
+    """A prefix of a prompt, and the endpoints that likely hold it."""
 
     blocks: int
     key: int
@@ -53,7 +56,11 @@
 
 
 class EndpointCache:
-    """What one endpoint holds; oldest entries come first."""
+    """Keys that one endpoint likely holds, oldest first.
+
+    `sequence` is that of its last event; `has_gap` says that events
+    before it were lost.
+    """
 
     __slots__ = ('has_gap', 'keys', 'sequence')
 
@@ -63,11 +70,11 @@
         self.has_gap = False
 
 
-class PrefixCache:
-    """Known prefix-cache blocks, by endpoint and by block.
+class PrefixCacheIndex:
+    """Prefix-cache blocks by endpoint, and endpoints by block.
 
-    An entry too many or too few costs time and never an answer: the
-    engine computes whatever it does not hold.
+    A wrong or missing entry costs time but no correctness: the engine
+    computes each block that it does not hold.
     """
 
     def __init__(self, *, max_entries: int = MAX_ENTRIES) -> None:
@@ -77,29 +84,29 @@
 
     @property
     def entries(self) -> int:
-        """Number of (endpoint, block) pairs that are kept."""
+        """Number of (endpoint, block) pairs in the index."""
         return sum(len(cache.keys) for cache in self._by_endpoint.values())
 
-    def has_doubt(self, endpoint: EndpointId) -> bool:
-        """Whether events of the endpoint were lost since a snapshot."""
+    def has_event_gap(self, endpoint: EndpointId) -> bool:
+        """Whether cache events were lost since the last snapshot."""
         cache = self._by_endpoint.get(endpoint)
         return cache is not None and cache.has_gap
 
-    def set_doubt(self, endpoint: EndpointId, *, doubtful: bool) -> None:
-        """Take over what the endpoint's owner says of lost events."""
-        self._cache_of(endpoint).has_gap = doubtful
+    def set_event_gap(self, endpoint: EndpointId, *, has_gap: bool) -> None:
+        """Set whether the endpoint's owner has lost cache events."""
+        self._cache_of(endpoint).has_gap = has_gap
 
     def keys(self, endpoint: EndpointId) -> tuple[int, ...]:
-        """Return the keys of an endpoint's blocks, oldest first."""
+        """Return the keys of the blocks of an endpoint, oldest first."""
         cache = self._by_endpoint.get(endpoint)
         return () if cache is None else tuple(cache.keys)
 
-    def take(self, event: CacheEvent) -> None:
-        """Apply an engine's event, and note whether any were lost.
+    def apply(self, event: CacheEvent) -> None:
+        """Apply an engine's cache event and detect lost events.
 
-        After a gap an evicted block may still be listed here, and a
-        request sent for it would be computed from the start. Matches
-        are therefore discounted until a snapshot has settled the doubt.
+        After a gap in the sequence numbers, the index may still list an
+        evicted block, and a request routed to it would be computed from
+        the start. Matches are therefore discounted until a snapshot.
         """
         cache = self._cache_of(event.endpoint)
         if event.snapshot:
@@ -114,7 +121,7 @@
         self.discard(event.endpoint, event.evicted)
 
     def add(self, endpoint: EndpointId, blocks: Iterable[int]) -> None:
-        """Note blocks that an endpoint holds or is about to hold."""
+        """Add blocks that an endpoint holds or is about to compute."""
         cache = self._cache_of(endpoint)
         for block in blocks:
             key = block & KEY_MASK
@@ -127,7 +134,7 @@
         self._trim(endpoint, cache)
 
     def discard(self, endpoint: EndpointId, blocks: Iterable[int]) -> None:
-        """Note blocks that an endpoint has evicted."""
+        """Remove blocks that an endpoint has evicted."""
         cache = self._cache_of(endpoint)
         for block in blocks:
             key = block & KEY_MASK
@@ -136,44 +143,44 @@
                 self._drop_holder(key, endpoint)
 
     def drop(self, endpoint: EndpointId) -> None:
-        """Forget an endpoint."""
+        """Remove all blocks of an endpoint."""
         cache = self._by_endpoint.pop(endpoint, None)
         if cache is not None:
             for key in cache.keys:
                 self._drop_holder(key, endpoint)
 
-    def match(self, blocks: Sequence[int]) -> tuple[Level, ...]:
-        """Return the known prefixes of a prompt, longest first.
+    def match(self, blocks: Sequence[int]) -> tuple[PrefixMatch, ...]:
+        """Return the matching prefixes of a prompt, longest first.
 
-        Neighbouring blocks with the same holders make one level, so a
-        prompt has few levels however long it is.
+        Of adjacent blocks with the same holders, only the longest prefix
+        is a match, so long prompts have few matches too.
         """
-        levels: list[Level] = []
+        matches: list[PrefixMatch] = []
         find = self._holders_by_key.get
         last = 0
         for depth in range(len(blocks), 0, -1):
             key = blocks[depth - 1] & KEY_MASK
             holders = find(key)
-            # Who holds a prefix holds its shorter ones too, so as many
-            # holders are the same holders.
+            # A holder of a prefix also holds the shorter ones, so an equal
+            # number of holders means the same holders.
             if holders is None or len(holders) <= last:
                 continue
-            levels.append(Level(blocks=depth, key=key, holders=holders))
+            matches.append(PrefixMatch(blocks=depth, key=key, holders=holders))
             last = len(holders)
-        return tuple(levels)
+        return tuple(matches)
 
     def cached_tokens(
-        self, endpoint: EndpointId, levels: Sequence[Level]
+        self, endpoint: EndpointId, matches: Sequence[PrefixMatch]
     ) -> float:
-        """Return the prompt tokens that the endpoint likely holds."""
+        """Return the number of prompt tokens the endpoint likely holds."""
         cache = self._by_endpoint.get(endpoint)
         if cache is None:
             return 0.0
         keys = cache.keys
-        for level in levels:
-            if level.key in keys:
-                tokens = level.blocks * BLOCK_TOKENS
-                return tokens * DOUBTFUL_SHARE if cache.has_gap else tokens
+        for match_ in matches:
+            if match_.key in keys:
+                tokens = match_.blocks * BLOCK_TOKENS
+                return tokens * GAP_DISCOUNT if cache.has_gap else tokens
         return 0.0
 
     def _cache_of(self, endpoint: EndpointId) -> EndpointCache:
@@ -202,15 +209,15 @@
 
 
 def pick_holders(
-    levels: Sequence[Level], limit: int, rng: random.Random
+    matches: Sequence[PrefixMatch], limit: int, rng: random.Random
 ) -> list[EndpointId]:
-    """Return endpoints with the longest prefixes, `limit` at most."""
+    """Return up to `limit` endpoints with the longest matches."""
     picked: list[EndpointId] = []
-    for level in levels:
+    for match_ in matches:
         room = limit - len(picked)
         if room <= 0:
             break
-        holders = level.holders
+        holders = match_.holders
         picked.extend(
             holders if len(holders) <= room else rng.sample(holders, room)
         )
--- a/packages/mimosamux-daemon/mimosamux_daemon/serving/routing.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/serving/routing.py
@@ -1,7 +1,8 @@
-"""Choice of an endpoint for a request.
+"""Routing: the choice of an endpoint for each attempt of a request.
 
-Each decision looks at a sample of the endpoints and at those that hold
-a prefix of the prompt, so its work does not grow with the fleet.
+A decision compares a random sample of the endpoints and those that hold a
+prefix of the prompt, so its cost does not grow with the fleet. Among
+endpoints that are about equal, it uses the power of two random choices.
 """
 
 import random
@@ -17,7 +18,11 @@
 from mimosamux_daemon.domain.vms import Endpoint
 from mimosamux_daemon.domain.work import ModelRequest
 from mimosamux_daemon.metrics import Metrics
-from mimosamux_daemon.serving.estimates import Candidate, Estimator, Prompt
+from mimosamux_daemon.serving.estimates import (
+    Candidate,
+    Estimator,
+    MatchedPrompt,
+)
 from mimosamux_daemon.serving.fleet import (
     EndpointState,
     Fleet,
@@ -29,53 +34,61 @@
 ItemT = TypeVar('ItemT')
 
 NO_ENDPOINT_RETRY_S = 5.0
-"""When to come again if no endpoint serves the model at all."""
+"""Retry-After of refusals while no endpoint serves the model."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class RoutingPolicy:
-    """Constants of the choice; docs/DECISIONS.md has the sweeps."""
-
-    sample: int = 4
-    """Endpoints looked at, and as many that this daemon watches."""
-    wide_sample: int = 48
-    """Endpoints looked at before a request is refused."""
-    holders: int = 4
-    """Endpoints with the longest cached prefix that are looked at."""
-    pools: int = 6
-    """Places that a sample is spread over, nearest and cheapest first."""
-    target_share: float = 0.5
-    """Share of the target up to which the cheapest endpoint is taken."""
-    miss_allowed: float = 1.0
-    """Multiple of the target beyond which a request is refused."""
+    """Constants of routing; docs/DECISIONS.md has the parameter sweeps.
+
+    The target is the first-token target of the request's class.
+    """
+
+    sample_size: int = 4
+    """Endpoints compared, and as many of those this daemon owns."""
+    wide_sample_size: int = 48
+    """The same in the second round, before a request is refused."""
+    max_holders: int = 4
+    """Endpoints with the longest cached prefixes that are compared."""
+    max_pools: int = 6
+    """Capacity pools sampled, nearest and then cheapest first."""
+    target_fraction: float = 0.5
+    """Fraction of the target within which the cheapest endpoint wins."""
+    refusal_factor: float = 1.0
+    """Multiple of the target above which a request is refused."""
     wait_weight: float = 0.5
-    """How much a second of wait within the target counts as cost."""
-    unsure: float = 0.5
-    """Weight of what peers may have sent unseen to their endpoints."""
-    kept_slots: float = 0.25
-    """Share of the slots left to those daemons that watch the endpoint."""
-    own_share: float = 0.75
-    """Share of the target that a request's own prompt may take; what
-    goes beyond it does not count as lateness."""
-    own_first: bool = True
-    """Prefer the endpoints that this daemon watches among equals."""
-    near_equal: float = 0.1
-    """Difference in cost, as a share, that counts as none."""
+    """Cost of a second of wait within the target."""
+    unreported_weight: float = 0.5
+    """Safety margin for what peers may have sent since their digests.
+
+    It is in standard deviations: the square root of the estimated number.
+    """
+    reserved_slots: float = 0.25
+    """Fraction of an endpoint's slots reserved for its owner's requests."""
+    prompt_fraction: float = 0.75
+    """Fraction of the target for a request's own time on an idle endpoint.
+
+    Time beyond it is unavoidable and does not count as lateness.
+    """
+    prefer_own: bool = True
+    """Prefer this daemon's own endpoints among about equal ones."""
+    tolerance: float = 0.1
+    """Relative difference up to which endpoints count as equal."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Choice:
-    """An endpoint and what was estimated for it."""
+    """The chosen endpoint and its estimates."""
 
     endpoint: Endpoint
     first_token_s: float
     unavoidable_s: float = 0.0
-    """Part of it that even an idle endpoint takes beyond the target."""
+    """Part of `first_token_s` that exceeds the limit on an idle endpoint."""
     cached_tokens: int = 0
     is_own: bool = True
-    """Whether the estimate is of an endpoint that this daemon watches."""
+    """Whether this daemon owns the endpoint."""
     work: PromptWork = field(default_factory=PromptWork)
-    """To be passed to `Fleet.note_sent`."""
+    """Argument for `Fleet.note_sent`."""
 
 
 class Router:
@@ -102,8 +115,8 @@
             prices=self._prices,
             distances=self._distances,
             configuration=configuration,
-            unsure=self._policy.unsure,
-            kept_slots=self._policy.kept_slots,
+            unreported_weight=self._policy.unreported_weight,
+            reserved_slots=self._policy.reserved_slots,
             wait_weight=self._policy.wait_weight,
         )
         self._rng = random.Random() if rng is None else rng
@@ -116,24 +129,26 @@
         excluding: frozenset[EndpointId] = frozenset(),
         accepted: bool = False,
     ) -> Choice | Refused:
-        """Return the endpoint to send to.
+        """Return the endpoint to send to, or a refusal.
 
-        `answer_tokens` have already been produced and count as prompt.
-        An accepted request is never refused for being late: it goes
-        where its answer comes earliest.
+        `answer_tokens` tokens of the answer exist already and count as
+        prompt. An accepted request is not refused for being late: it
+        goes to the endpoint with the earliest first token.
         """
-        prompt = self._estimator.read(request, answer_tokens)
-        size = self._policy.sample
-        candidates = self._find_candidates(request, prompt, size, excluding)
+        prompt = self._estimator.match_prompt(request, answer_tokens)
+        sample_size = self._policy.sample_size
+        candidates = self._find_candidates(
+            request, prompt, sample_size, excluding
+        )
         target_s = request.work_class.first_token_s
-        limit_s = target_s * self._policy.miss_allowed
-        best = self._pick(candidates, target_s)
+        limit_s = target_s * self._policy.refusal_factor
+        best = self._select(candidates, target_s)
         if best is None or best.first_token_s > limit_s:
-            size = self._policy.wide_sample
+            sample_size = self._policy.wide_sample_size
             candidates = self._find_candidates(
-                request, prompt, size, excluding
+                request, prompt, sample_size, excluding
             )
-            best = self._pick(candidates, target_s)
+            best = self._select(candidates, target_s)
         if best is None:
             return _no_endpoint(f'model {request.model}')
         unavoidable_s = self._find_unavoidable(best, target_s)
@@ -150,18 +165,18 @@
             unavoidable_s=unavoidable_s,
             cached_tokens=int(best.cached_tokens),
             is_own=best.state.is_own,
-            work=self._estimator.work_of(best, request, prompt),
+            work=self._estimator.estimate_work(best, request, prompt),
         )
 
     def _find_unavoidable(self, best: Candidate, target_s: float) -> float:
-        """Return the time by which a prompt is too long for its target.
+        """Return the time by which a request is late on an idle endpoint.
 
-        A prompt that takes longer than the target on an idle endpoint
-        would be refused however often it came again, and be told each
-        time to come again. It is served late: that costs less.
+        A prompt that exceeds the target even on an idle endpoint would
+        be refused on every retry, each time with advice to retry later.
+        Serving it late costs less.
         """
-        alone_s = best.first_token_s - best.wait_s
-        return max(0.0, alone_s - self._policy.own_share * target_s)
+        idle_s = best.first_token_s - best.wait_s
+        return max(0.0, idle_s - self._policy.prompt_fraction * target_s)
 
     def choose_service(
         self,
@@ -169,12 +184,12 @@
         *,
         excluding: frozenset[EndpointId] = frozenset(),
     ) -> Endpoint | Refused:
-        """Return the endpoint of a service for one call."""
+        """Return an endpoint of a service for one call, or a refusal."""
         states = self._fleet.serving_service(service)
         now = anyio.current_time()
         usable = [
             state
-            for state in self._sample(list(states), self._policy.sample)
+            for state in self._sample(list(states), self._policy.sample_size)
             if state.endpoint.id not in excluding
             and not state.is_suspected(now)
         ]
@@ -185,28 +200,28 @@
             for state in usable
             if self._distances.is_near(state.endpoint.data_centre)
         ]
-        drawn_from = near or usable
-        pair = self._rng.sample(drawn_from, min(len(drawn_from), 2))
+        eligible = near or usable
+        pair = self._rng.sample(eligible, min(len(eligible), 2))
         return min(pair, key=_open_requests).endpoint
 
     def _find_candidates(
         self,
         request: ModelRequest,
-        prompt: Prompt,
-        size: int,
+        prompt: MatchedPrompt,
+        sample_size: int,
         excluding: frozenset[EndpointId],
     ) -> list[Candidate]:
         now = anyio.current_time()
         by_id = {
             state.endpoint.id: state
-            for state in self._sample_pools(request.model, size)
+            for state in self._sample_pools(request.model, sample_size)
         }
         for state in self._sample(
-            self._fleet.own_endpoints(request.model), size
+            self._fleet.own_endpoints(request.model), sample_size
         ):
             by_id[state.endpoint.id] = state
-        limit = self._policy.holders
-        for holder in pick_holders(prompt.levels, limit, self._rng):
+        limit = self._policy.max_holders
+        for holder in pick_holders(prompt.matches, limit, self._rng):
             state = self._fleet.by_id[holder]
             if state.endpoint.model == request.model and not state.is_leaving:
                 by_id[holder] = state
@@ -217,38 +232,39 @@
         ]
         return self._estimator.estimate(states, request, prompt)
 
-    def _pick(
+    def _select(
         self, candidates: list[Candidate], target_s: float
     ) -> Candidate | None:
-        """Return the cheapest that is early enough, else the earliest.
+        """Return the cheapest early candidate, else the earliest one.
 
-        Among those that cost about the same, two are drawn and the
-        earlier one is taken. Daemons with the same view would otherwise
-        all send to the same endpoint until the next reports.
+        A candidate is early within `target_fraction` of the target. Of
+        about equal candidates, two are drawn at random and the earlier
+        one wins. Otherwise all daemons with the same view would send to
+        the same endpoint until the next load reports.
         """
         if not candidates:
             return None
-        limit_s = target_s * self._policy.target_share
+        limit_s = target_s * self._policy.target_fraction
         early = [each for each in candidates if each.first_token_s <= limit_s]
         if early:
-            return self._draw(early, _cost_of)
-        limit_s = target_s * self._policy.miss_allowed
-        sure = [
+            return self._choose_of_two(early, _cost_of)
+        limit_s = target_s * self._policy.refusal_factor
+        own = [
             each
             for each in candidates
             if each.state.is_own and each.first_token_s <= limit_s
         ]
-        return self._draw(sure or candidates, _first_token_of)
+        return self._choose_of_two(own or candidates, _first_token_of)
 
-    def _draw(
+    def _choose_of_two(
         self,
         candidates: list[Candidate],
         measure: Callable[[Candidate], float],
     ) -> Candidate:
-        bound = min(map(measure, candidates)) * (1 + self._policy.near_equal)
+        bound = min(map(measure, candidates)) * (1 + self._policy.tolerance)
         equal = [each for each in candidates if measure(each) <= bound]
         near = [each for each in equal if each.is_near] or equal
-        if self._policy.own_first:
+        if self._policy.prefer_own:
             near = [each for each in near if each.state.is_own] or near
         pair = self._rng.sample(near, min(len(near), 2))
         return min(pair, key=_first_token_of)
@@ -262,26 +278,28 @@
         )
 
     def _sample_pools(
-        self, model: ModelName, size: int
+        self, model: ModelName, sample_size: int
     ) -> Iterator[EndpointState]:
         pools = self._fleet.pools_of(model)
         if not pools:
             return
         chosen = list(pools)
-        if len(chosen) > self._policy.pools:
-            chosen = sorted(chosen, key=self._rank)[: self._policy.pools]
-        share = max(size // len(chosen), 1)
+        if len(chosen) > self._policy.max_pools:
+            chosen = sorted(chosen, key=self._rank)[: self._policy.max_pools]
+        share = max(sample_size // len(chosen), 1)
         for pool in chosen:
             yield from self._sample(pools[pool], share)
 
     def _rank(self, pool: CapacityPool) -> tuple[float, float]:
-        away_s = self._distances.one_way_s(pool.data_centre)
-        return away_s, self._prices.relative(pool)
+        one_way_s = self._distances.one_way_s(pool.data_centre)
+        return one_way_s, self._prices.relative(pool)
 
-    def _sample(self, items: Sequence[ItemT], size: int) -> Sequence[ItemT]:
-        if len(items) <= size:
+    def _sample(
+        self, items: Sequence[ItemT], sample_size: int
+    ) -> Sequence[ItemT]:
+        if len(items) <= sample_size:
             return items
-        return self._rng.sample(items, size)
+        return self._rng.sample(items, sample_size)
 
 
 def _no_endpoint(what: str) -> Refused:
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -231,13 +231,13 @@
             )
             await anyio.sleep(2)
             self.assertEqual(len(other.keys('e0')), 8)
-            self.assertFalse(other.has_doubt('e0'))
+            self.assertFalse(other.has_event_gap('e0'))
             group.engines.report(
                 CacheEvent(endpoint='e0', sequence=5, evicted=blocks[4:])
             )
             await anyio.sleep(2)
             self.assertEqual(len(other.keys('e0')), 4)
-            self.assertTrue(other.has_doubt('e0'))
+            self.assertTrue(other.has_event_gap('e0'))
 
         run_paused(group.run, check)
 
--- a/tests/test_prefix_cache.py
+++ b/tests/test_prefix_cache.py
@@ -10,7 +10,7 @@
 from mimosamux_daemon.serving.prefix_cache import (
     BLOCK_BYTES,
     BLOCK_TOKENS,
-    PrefixCache,
+    PrefixCacheIndex,
     hash_prompt,
     pick_holders,
 )
@@ -49,7 +49,7 @@
 
 class TestPrefixCache(unittest.TestCase):
     def setUp(self):
-        self.cache = PrefixCache()
+        self.cache = PrefixCacheIndex()
         self.blocks = hash_prompt(prompt_of('a', 'b', 'c', 'd'))
 
     def cached(self, endpoint=A):
@@ -57,8 +57,8 @@
         return self.cache.cached_tokens(endpoint, levels)
 
     def test_longest_known_prefix_counts(self):
-        self.cache.take(event(1, stored=self.blocks[:3], snapshot=True))
-        self.cache.take(
+        self.cache.apply(event(1, stored=self.blocks[:3], snapshot=True))
+        self.cache.apply(
             event(1, stored=self.blocks[:1], snapshot=True, endpoint=B)
         )
         self.assertEqual(self.cached(A), 3 * BLOCK_TOKENS)
@@ -67,8 +67,8 @@
         self.assertEqual(pick_holders(levels, 1, random.Random(1)), [A])
 
     def test_evicted_block_no_longer_counts(self):
-        self.cache.take(event(1, stored=self.blocks, snapshot=True))
-        self.cache.take(event(2, evicted=self.blocks[2:]))
+        self.cache.apply(event(1, stored=self.blocks, snapshot=True))
+        self.cache.apply(event(2, evicted=self.blocks[2:]))
         self.assertEqual(self.cached(), 2 * BLOCK_TOKENS)
 
     def test_gap_makes_entries_doubtful_until_a_snapshot(self):
@@ -77,11 +77,11 @@
         Requests would go on being sent there for a prefix that is gone,
         and a site engineer would wait while it is computed again.
         """
-        self.cache.take(event(1, stored=self.blocks, snapshot=True))
-        self.cache.take(event(3))
-        self.assertTrue(self.cache.has_doubt(A))
+        self.cache.apply(event(1, stored=self.blocks, snapshot=True))
+        self.cache.apply(event(3))
+        self.assertTrue(self.cache.has_event_gap(A))
         self.assertEqual(self.cached(), 2 * BLOCK_TOKENS)
-        self.cache.take(event(4, stored=self.blocks, snapshot=True))
+        self.cache.apply(event(4, stored=self.blocks, snapshot=True))
         self.assertEqual(self.cached(), 4 * BLOCK_TOKENS)
 
     def test_repeated_event_changes_nothing(self):
@@ -89,13 +89,13 @@
 
         Applied again, it would bring back blocks evicted since then.
         """
-        self.cache.take(event(1, stored=self.blocks, snapshot=True))
-        self.cache.take(event(2, evicted=self.blocks))
-        self.cache.take(event(1, stored=self.blocks))
+        self.cache.apply(event(1, stored=self.blocks, snapshot=True))
+        self.cache.apply(event(2, evicted=self.blocks))
+        self.cache.apply(event(1, stored=self.blocks))
         self.assertEqual(self.cached(), 0)
 
     def test_memory_is_bounded_and_oldest_entries_go_first(self):
-        cache = PrefixCache(max_entries=100)
+        cache = PrefixCacheIndex(max_entries=100)
         cache.add(A, range(1, 1001))
         self.assertEqual(cache.keys(A), tuple(range(901, 1001)))
         self.assertEqual(cache.match([1]), ())
@@ -118,7 +118,7 @@
         )
     )
     def test_index_agrees_with_plain_sets(self, steps):
-        cache = PrefixCache()
+        cache = PrefixCacheIndex()
         expected = {A: set(), B: set()}
         for endpoint, action, blocks in steps:
             if action == 'add':
