--- a/packages/mimosamux-daemon/mimosamux_daemon/domain/outcomes.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/domain/outcomes.py
@@ -29,7 +29,7 @@
     RETRY_BUDGET = 'retry_budget'
     STOPPING = 'stopping'
     STORE_UNAVAILABLE = 'store_unavailable'
-    TURNED_DOWN = 'endpoint_turned_down'
+    ENDPOINT_REJECTED = 'endpoint_turned_down'
     UNCONFIRMED = 'configuration_unconfirmed'
     UNKNOWN_CLASS = 'unknown_class'
     UNKNOWN_MODEL = 'unknown_model'
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/attempts.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/attempts.py
@@ -23,7 +23,7 @@
 from mimosamux_daemon.ports.endpoint_calls import (
     EndpointAnswer,
     EndpointCall,
-    TurnedDown,
+    RequestRejected,
 )
 
 log = get_log('sends')
@@ -67,16 +67,16 @@
         return EndpointCall(
             request=job.request,
             endpoint=self.endpoint,
-            left_s=job.left_s(self.sent_at),
+            timeout_s=job.left_s(self.sent_at),
             has_caller_left=job.has_caller_left,
-            is_too_late=self._is_too_late,
+            is_endpoint_closed=self._is_endpoint_closed,
             account=None if job.account is None else job.account.id,
             priority=job.priority,
             resume=job.resume_point(),
             fetch_from=None if source is None else source.listed.address,
         )
 
-    def _is_too_late(self) -> bool:
+    def _is_endpoint_closed(self) -> bool:
         """Whether the endpoint began to leave after it was chosen.
 
         A moved stream continues at the holder of its copy even if that one
@@ -108,7 +108,9 @@
         """Record a successful connection to the endpoint."""
         self.recorder.roster.note_connect(self.choice.record, failed=False)
 
-    def note_response_head(self, answer: EndpointAnswer | TurnedDown) -> None:
+    def note_response_head(
+        self, answer: EndpointAnswer | RequestRejected
+    ) -> None:
         """Update the endpoint's state from the head of a response.
 
         The endpoint list may report the same later, or not at all while the
@@ -116,9 +118,11 @@
         """
         record = self.choice.record
         roster = self.recorder.roster
-        if not (isinstance(answer, TurnedDown) and answer.is_other_endpoint):
+        if not (
+            isinstance(answer, RequestRejected) and answer.is_other_endpoint
+        ):
             self.recorder.crash_detector.note_answer(record)
-        if not isinstance(answer, TurnedDown):
+        if not isinstance(answer, RequestRejected):
             roster.note_acceptance(record, self.sent_at)
         elif answer.is_full and not self.job.is_resumed:
             # A full endpoint also rejects a resumed stream whose copy it has
@@ -130,7 +134,7 @@
             record,
             answer.limit_per_s,
             sent_at=self.sent_at,
-            is_served=not isinstance(answer, TurnedDown)
+            is_served=not isinstance(answer, RequestRejected)
             and answer.status < HTTPStatus.INTERNAL_SERVER_ERROR,
         )
         if answer.is_leaving:
@@ -141,7 +145,7 @@
                 incarnation=record.incarnation,
             )
 
-    def note_turned_down(self, answer: TurnedDown) -> None:
+    def note_rejection(self, answer: RequestRejected) -> None:
         """Record that the endpoint rejected the request without running it."""
         self.job.may_have_run = self.may_have_run_before
         self._count('turned_down')
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/crash_detector.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/crash_detector.py
@@ -17,7 +17,7 @@
 from mimosamux_daemon.gateway.endpoint_record import EndpointRecord
 from mimosamux_daemon.gateway.metrics import GatewayMetrics
 from mimosamux_daemon.logs import get_log
-from mimosamux_daemon.ports.endpoint_calls import EndpointCalls, Presence
+from mimosamux_daemon.ports.endpoint_calls import EndpointCalls, ProcessState
 
 log = get_log('crash_detector')
 
@@ -120,10 +120,12 @@
                 return False
             if record.gone_at is not None:
                 return True
-            presence = await self.calls.look_for(record.listed)
-            if presence is Presence.ENDED:
+            process_state = await self.calls.check_process(record.listed)
+            if process_state is ProcessState.ENDED:
                 return True
-            times_alive = times_alive + 1 if presence is Presence.THERE else 0
+            times_alive = (
+                times_alive + 1 if process_state is ProcessState.RUNNING else 0
+            )
             if times_alive >= MIN_ALIVE_CHECKS:
                 return False
             await anyio.sleep(CHECK_INTERVAL_S)
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/forwarding.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/forwarding.py
@@ -46,12 +46,12 @@
 from mimosamux_daemon.ports.callers import AnswerSink, Caller
 from mimosamux_daemon.ports.endpoint_calls import (
     CallBroken,
+    CallerGoneBeforeSend,
     EndpointAnswer,
     EndpointCalls,
-    NotAwaited,
     NotSent,
+    RequestRejected,
     SentRequest,
-    TurnedDown,
 )
 
 MAX_FAILED_CONNECTS = 4
@@ -186,7 +186,7 @@
         wait_s = self.roster.opens_in_s(name)
         if wait_s > 0:
             return job.give_up(
-                Reason.TURNED_DOWN,
+                Reason.ENDPOINT_REJECTED,
                 f'no endpoint of {name} wants more at the moment',
                 retry_after_s=wait_s,
             )
@@ -235,7 +235,7 @@
             if isinstance(sent, NotSent):
                 attempt.note_connect_failed(sent.reason)
                 return sent
-            if isinstance(sent, NotAwaited):
+            if isinstance(sent, CallerGoneBeforeSend):
                 attempt.note_caller_gone()
                 return CallerGone()
             attempt.note_connected()
@@ -259,7 +259,7 @@
         if isinstance(answer, CallBroken):
             return self._handle_broken_call(job, attempt, answer)
         attempt.note_response_head(answer)
-        if isinstance(answer, TurnedDown):
+        if isinstance(answer, RequestRejected):
             return self._handle_turned_down(job, attempt, answer)
         if job.is_stream and answer.status == HTTPStatus.OK:
             return await self._forward_stream(
@@ -326,14 +326,14 @@
         return self._handle_broken_call(job, attempt, ended)
 
     def _handle_turned_down(
-        self, job: Job, attempt: Attempt, answer: TurnedDown
+        self, job: Job, attempt: Attempt, answer: RequestRejected
     ) -> GatewayOutcome | ContinueElsewhere:
         """Retry a request that its endpoint rejected, or refuse it."""
-        attempt.note_turned_down(answer)
+        attempt.note_rejection(answer)
         if self._take_retry(job, is_proven_not_run=True):
             return ContinueElsewhere()
         return job.give_up(
-            Reason.TURNED_DOWN,
+            Reason.ENDPOINT_REJECTED,
             f'the endpoint answered {answer.status}',
             retry_after_s=max(
                 self.roster.opens_in_s(job.service.name), TRANSIENT_RETRY_S
--- a/packages/mimosamux-daemon/mimosamux_daemon/ports/endpoint_calls.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/ports/endpoint_calls.py
@@ -28,11 +28,11 @@
 
     request: GatewayRequest
     endpoint: ListedEndpoint
-    left_s: float
+    timeout_s: float
     """Time limit; the endpoint abandons the request after it."""
     has_caller_left: Callable[[], bool]
     """Checked after connecting, before the first byte is sent."""
-    is_too_late: Callable[[], bool]
+    is_endpoint_closed: Callable[[], bool]
     """Whether the endpoint accepts no new requests; checked likewise."""
     account: AccountId | None = None
     priority: int | None = None
@@ -53,7 +53,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class NotAwaited:
+class CallerGoneBeforeSend:
     """The caller disconnected before any byte of its request was sent."""
 
 
@@ -65,7 +65,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class TurnedDown:
+class RequestRejected:
     """The endpoint states that it has not run the request."""
 
     status: int
@@ -91,10 +91,10 @@
     reason: str
 
 
-class Presence(Enum):
+class ProcessState(Enum):
     """State of the process at an endpoint's address."""
 
-    THERE = auto()
+    RUNNING = auto()
     """A process accepts connections."""
     ENDED = auto()
     """The VM refuses connections: no process listens."""
@@ -129,7 +129,7 @@
 class SentRequest(Protocol):
     """A request that was sent to an endpoint."""
 
-    async def answer(self) -> EndpointAnswer | TurnedDown | CallBroken:
+    async def answer(self) -> EndpointAnswer | RequestRejected | CallBroken:
         """Wait for the answer and return its start.
 
         Cancellation loses no data; the method may be called again.
@@ -142,9 +142,9 @@
     def send(
         self, call: EndpointCall
     ) -> AbstractAsyncContextManager[
-        SentRequest | NotSent | NotAwaited | CallBroken
+        SentRequest | NotSent | CallerGoneBeforeSend | CallBroken
     ]:
         """Send a request; leaving the block early closes the connection."""
 
-    async def look_for(self, endpoint: ListedEndpoint) -> Presence:
+    async def check_process(self, endpoint: ListedEndpoint) -> ProcessState:
         """Check by connecting whether an endpoint's process is running."""
--- a/tests/test_platform_input.py
+++ b/tests/test_platform_input.py
@@ -22,7 +22,7 @@
     CallBroken,
     EndpointCall,
     NotSent,
-    TurnedDown,
+    RequestRejected,
     UnreadableLimit,
 )
 from mimosamux_daemon.ports.feeds import FeedNews, HistoryLost, Unreadable
@@ -74,10 +74,10 @@
         return result
 
 
-def endpoint_call(*, is_too_late=False):
+def endpoint_call(*, is_endpoint_closed=False):
     return EndpointCall(
         has_caller_left=lambda: False,
-        is_too_late=lambda: is_too_late,
+        is_endpoint_closed=lambda: is_endpoint_closed,
         request=GatewayRequest(
             id=OWN_ID,
             head=RequestHead(
@@ -96,7 +96,7 @@
             data_centre=DataCentreName('north'),
             slots=1,
         ),
-        left_s=2.0,
+        timeout_s=2.0,
     )
 
 
@@ -108,7 +108,7 @@
         if isinstance(sent, NotSent | CallBroken):
             return type(sent), b'', False
         answer = await sent.answer()
-        if isinstance(answer, TurnedDown | CallBroken):
+        if isinstance(answer, RequestRejected | CallBroken):
             return type(answer), b'', False
         while True:
             part = await answer.receive()
@@ -179,7 +179,7 @@
         plain = b'HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n'
         marked = plain.replace(b'Content', b'X-Not-Executed: 1\r\nContent')
         self.assertEqual(ask_replica(plain)[0], 503)
-        self.assertEqual(ask_replica(marked)[0], TurnedDown)
+        self.assertEqual(ask_replica(marked)[0], RequestRejected)
 
     def test_limit_that_a_replica_names_is_read_where_it_holds(self):
         async def read_limit(channels):
@@ -210,7 +210,7 @@
 
     def test_replica_that_left_during_the_connect_is_sent_nothing(self):
         async def send(channels):
-            call = endpoint_call(is_too_late=True)
+            call = endpoint_call(is_endpoint_closed=True)
             async with ReplicaCalls(channels=channels).send(call) as sent:
                 kept = channels._idle_by_address.get(ADDRESS)
                 return type(sent), bool(kept)
