--- a/packages/mimosamux-daemon/mimosamux_daemon/serving/attempts.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/serving/attempts.py
@@ -19,7 +19,7 @@
 from mimosamux_daemon.serving.relay import (
     AttemptBroken,
     BreakCause,
-    DropFrame,
+    FrameDropHandler,
     Progress,
     relay_attempt,
 )
@@ -61,7 +61,7 @@
     patience: float
     """Factor on the usual patience with a silent engine."""
     progress: Progress
-    on_dropped: DropFrame
+    on_dropped: FrameDropHandler
     scope: anyio.CancelScope = field(default_factory=anyio.CancelScope)
     interruption: Interruption | None = None
     moving: anyio.Event | None = None
--- a/packages/mimosamux-daemon/mimosamux_daemon/serving/estimates.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/serving/estimates.py
@@ -106,9 +106,9 @@
     ) -> list[Candidate]:
         """Return a candidate with its estimates for each endpoint."""
         now = anyio.current_time()
-        service_s = self._fleet.service_times.of_model(
+        service_s = self._fleet.service_times.mean_of_model(
             request.model,
-            unseen_s=request.max_tokens * DEFAULT_DECODE_INTERVAL_S,
+            default_s=request.max_tokens * DEFAULT_DECODE_INTERVAL_S,
         )
         costs_by_pool: dict[CapacityPool, PoolCosts] = {}
         candidates = []
@@ -144,8 +144,8 @@
         prefill_s = uncached / load.prefill_tokens_per_s
         longest_s = prefill_s + request.max_tokens * load.decode_interval_s
         kind = WorkKind(request.model, request.work_class.name)
-        service_s = self._fleet.service_times.of_kind(
-            kind, at_most_s=longest_s
+        service_s = self._fleet.service_times.mean_of_kind(
+            kind, max_s=longest_s
         )
         return PromptWork(
             tokens=uncached,
--- a/packages/mimosamux-daemon/mimosamux_daemon/serving/recovery.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/serving/evacuation.py
@@ -1,4 +1,8 @@
-"""Moves running requests away from an endpoint that is leaving."""
+"""Migration of running requests away from an endpoint that leaves.
+
+A request moves with its KV cache if the notice period allows it;
+otherwise it is prompted again at another endpoint.
+"""
 
 import anyio
 
@@ -16,36 +20,39 @@
 
 log = get_log('recovery')
 
-MOVES_AT_ONCE = 1
-"""Exports from one endpoint that this daemon has under way: a stream
-stands still from its export on, so it does not wait behind others."""
-SHORTEST_TRY_S = 1.0
-"""Time that a move may take in any case, if the notice allows it."""
-TRY_SHARE = 0.5
-"""Share of what is left of the notice that one move may take; a target
-that stands still would hold up all the others."""
-LAST_SECONDS = 0.5
-"""What is left of a notice when the remaining requests prompt again."""
-UNKNOWN_NOTICE_S = 2.0
-"""Time counted on when an endpoint leaves without saying when."""
-STAY_SHARE = 0.8
-"""Share of the notice that an answer may need to end where it runs."""
-FIRST_GUESS_S_PER_TOKEN = 20e-6
-"""Time to move one token's KV cache, before one was measured."""
+MAX_CONCURRENT_MOVES = 1
+"""Concurrent KV cache exports of this daemon from one endpoint. A stream
+pauses from its export on, so it must not queue behind other moves."""
+MIN_MOVE_LIMIT_S = 1.0
+"""Shortest time limit of one move, unless the notice period ends first."""
+MOVE_TIME_FRACTION = 0.5
+"""Fraction of the rest of the notice period that one move may take, so
+that a stalled target does not block all other moves."""
+REPROMPT_RESERVE_S = 0.5
+"""Time before the end of the notice period at which requests that have
+not moved are prompted again elsewhere."""
+DEFAULT_NOTICE_S = 2.0
+"""Notice period assumed if an endpoint leaves without announcing when."""
+STAY_FRACTION = 0.8
+"""An answer stays if it can complete within this fraction of the notice
+period."""
+INITIAL_S_PER_TOKEN = 20e-6
+"""Initial estimate of the time to move one token's KV cache."""
 MOVE_OVERHEAD_S = 0.05
-"""Time of a move that does not depend on its size."""
+"""Fixed time of a move, independent of its size."""
 SMOOTHING = 0.3
-"""Weight of the newest measurement of the time to move a token."""
-IMPORT_TARGETS = 2
-"""Endpoints that an exported KV cache is offered to, one by one."""
+"""Weight of the newest sample in the moving average of the time per
+token."""
+MAX_IMPORT_TARGETS = 2
+"""Endpoints tried, one after the other, for one exported KV cache."""
 
 
-class Recovery:
-    """Moves requests, longest context first, within the notice.
+class Evacuation:
+    """Moves requests, longest context first, within the notice period.
 
-    The longest contexts cost most to compute again, so they go first; a
-    request that ends within the notice stays, and one whose move does
-    not fit goes on elsewhere from its prompt and the tokens sent.
+    Long contexts cost most to recompute, so they move first. A request
+    that will complete within the notice period stays. One whose move
+    does not fit is prompted again elsewhere with the tokens sent so far.
     """
 
     def __init__(
@@ -54,26 +61,28 @@
         self._engines = engines
         self._fleet = fleet
         self._router = router
-        self._s_per_token = FIRST_GUESS_S_PER_TOKEN
+        self._estimated_s_per_token = INITIAL_S_PER_TOKEN
 
-    async def move_away(
+    async def evacuate(
         self, state: EndpointState, attempts: list[Attempt]
     ) -> None:
-        """Bring attempts away from a leaving endpoint before it goes."""
+        """Move attempts away from a leaving endpoint before it is gone."""
         notice = self._seconds_left(state)
-        last_call = anyio.current_time() + max(0.0, notice - LAST_SECONDS)
+        reprompt_at = anyio.current_time() + max(
+            0.0, notice - REPROMPT_RESERVE_S
+        )
         moving = [
             attempt
             for attempt in attempts
-            if not ends_within(attempt, notice * STAY_SHARE)
+            if not completes_within(attempt, notice * STAY_FRACTION)
         ]
         moving.sort(key=lambda attempt: attempt.context_tokens, reverse=True)
-        limiter = anyio.Semaphore(MOVES_AT_ONCE)
+        limiter = anyio.Semaphore(MAX_CONCURRENT_MOVES)
         async with anyio.create_task_group() as tasks:
             for attempt in moving:
                 await limiter.acquire()
-                tasks.start_soon(self._move, attempt, last_call, limiter)
-        await anyio.sleep_until(last_call)
+                tasks.start_soon(self._move, attempt, reprompt_at, limiter)
+        await anyio.sleep_until(reprompt_at)
         for attempt in attempts:
             if is_running(attempt):
                 attempt.interrupt(
@@ -84,23 +93,25 @@
 
     def _seconds_left(self, state: EndpointState) -> float:
         if state.leaves_at is None:
-            return UNKNOWN_NOTICE_S
+            return DEFAULT_NOTICE_S
         return state.leaves_at - anyio.current_time()
 
     async def _move(
-        self, attempt: Attempt, last_call: float, limiter: anyio.Semaphore
+        self, attempt: Attempt, reprompt_at: float, limiter: anyio.Semaphore
     ) -> None:
         try:
             tokens = attempt.context_tokens
-            needed = MOVE_OVERHEAD_S + tokens * self._s_per_token
+            needed = MOVE_OVERHEAD_S + tokens * self._estimated_s_per_token
             if not is_running(attempt):
                 return
-            if anyio.current_time() + needed > last_call:
+            if anyio.current_time() + needed > reprompt_at:
                 return
             moved = anyio.Event()
             attempt.moving = moved
             try:
-                with anyio.CancelScope(deadline=limit_move(last_call)):
+                with anyio.CancelScope(
+                    deadline=find_move_deadline(reprompt_at)
+                ):
                     await self._export_and_import(attempt)
             finally:
                 moved.set()
@@ -114,16 +125,16 @@
             attempt.endpoint, call.request, call.attempt
         )
         if isinstance(export, KvUnavailable):
-            # The engine goes on with the attempt, if it still runs, and
-            # the last seconds of the notice end it.
+            # The engine continues an attempt that still runs until the
+            # endpoint's remaining requests are prompted again.
             log.info(
                 'kv_not_exported', request=call.request, reason=export.reason
             )
             attempt.moving = None
             return
-        moved = await self._import_somewhere(attempt, export)
+        moved = await self._import_at_any(attempt, export)
         if moved is not None:
-            self._measure(anyio.current_time() - started, moved.tokens)
+            self._update_estimate(anyio.current_time() - started, moved.tokens)
             if is_running(attempt):
                 attempt.interrupt(moved)
             else:
@@ -137,11 +148,11 @@
             )
         )
 
-    async def _import_somewhere(
+    async def _import_at_any(
         self, attempt: Attempt, export: KvExport
     ) -> Transferred | None:
         tried = {attempt.endpoint.id}
-        for _ in range(IMPORT_TARGETS):
+        for _ in range(MAX_IMPORT_TARGETS):
             choice = self._router.choose(
                 attempt.active.request,
                 answer_tokens=len(attempt.active.tokens),
@@ -173,7 +184,7 @@
         if target is None:
             return KvUnavailable(reason='endpoint is gone')
         request = attempt.call.request
-        # Counted as sent, so that other moves see where this one goes.
+        # Count the import as load so that other moves take it into account.
         self._fleet.note_sent(
             choice.endpoint.id, request, attempt.call.attempt + 1
         )
@@ -192,9 +203,11 @@
             return KvUnavailable(reason='endpoint leaves as well')
         return result
 
-    def _measure(self, seconds: float, tokens: int) -> None:
-        measured = max(0.0, seconds - MOVE_OVERHEAD_S) / max(tokens, 1)
-        self._s_per_token += SMOOTHING * (measured - self._s_per_token)
+    def _update_estimate(self, seconds: float, tokens: int) -> None:
+        sample = max(0.0, seconds - MOVE_OVERHEAD_S) / max(tokens, 1)
+        self._estimated_s_per_token += SMOOTHING * (
+            sample - self._estimated_s_per_token
+        )
 
 
 async def _cancel_when_leaving(
@@ -204,15 +217,15 @@
     scope.cancel()
 
 
-def limit_move(last_call: float) -> float:
-    """Return the time by which one move has to be done."""
+def find_move_deadline(reprompt_at: float) -> float:
+    """Return the deadline of a move that starts now."""
     now = anyio.current_time()
-    seconds = max(SHORTEST_TRY_S, TRY_SHARE * (last_call - now))
-    return min(last_call, now + seconds)
+    seconds = max(MIN_MOVE_LIMIT_S, MOVE_TIME_FRACTION * (reprompt_at - now))
+    return min(reprompt_at, now + seconds)
 
 
 def is_running(attempt: Attempt) -> bool:
-    """Whether the attempt still runs and nobody moves it."""
+    """Whether the attempt is current, not interrupted and not ended."""
     return (
         attempt.interruption is None
         and not attempt.active.has_ended
@@ -220,12 +233,16 @@
     )
 
 
-def ends_within(attempt: Attempt, seconds: float) -> bool:
-    """Whether the answer will be whole in that time where it runs."""
+def completes_within(attempt: Attempt, seconds: float) -> bool:
+    """Whether the answer will be complete in that time if it stays.
+
+    Extrapolates the mean token interval of the attempt to the request's
+    maximum number of tokens.
+    """
     if not attempt.progress.tokens:
         return False
     request = attempt.active.request
-    passed = anyio.current_time() - attempt.progress.started_at
-    interval = passed / attempt.progress.tokens
+    elapsed = anyio.current_time() - attempt.progress.started_at
+    interval = elapsed / attempt.progress.tokens
     missing = request.max_tokens - len(attempt.active.tokens)
     return missing * interval <= seconds
--- a/packages/mimosamux-daemon/mimosamux_daemon/serving/fleet.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/serving/fleet.py
@@ -193,7 +193,9 @@
         # service time, it would bias the estimated slot waits downwards.
         was_sent = state.failed_connects == 0
         if slot_use.kind is not None and was_sent and now > slot_use.starts_at:
-            self.service_times.note(slot_use.kind, now - slot_use.starts_at)
+            self.service_times.add_sample(
+                slot_use.kind, now - slot_use.starts_at
+            )
 
     def note_connect(self, endpoint: EndpointId, *, failed: bool) -> None:
         """Count a connect; repeated failures make the endpoint suspected.
--- a/packages/mimosamux-daemon/mimosamux_daemon/serving/model_serving.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/serving/model_serving.py
@@ -20,9 +20,9 @@
     DriverParts,
     RequestDriver,
 )
+from mimosamux_daemon.serving.evacuation import Evacuation
 from mimosamux_daemon.serving.first_tokens import FirstTokens
 from mimosamux_daemon.serving.fleet import Fleet
-from mimosamux_daemon.serving.recovery import Recovery
 from mimosamux_daemon.serving.requests import (
     ActiveRequest,
     Moved,
@@ -79,14 +79,14 @@
         self._meter = DemandMeter() if meter is None else meter
         self._budget = budget or RetryBudget()
         self._drivers: dict[RequestId, RequestDriver] = {}
-        recovery = Recovery(engines=engines, fleet=fleet, router=router)
+        evacuation = Evacuation(engines=engines, fleet=fleet, router=router)
         self._parts = DriverParts(
             engines=engines,
             fleet=fleet,
             router=router,
             budget=self._budget,
             watch=AttemptWatch(
-                recovery=recovery, budget=self._budget, tasks=tasks
+                evacuation=evacuation, budget=self._budget, tasks=tasks
             ),
             metrics=self._metrics,
             suspects=Suspects(),
--- a/packages/mimosamux-daemon/mimosamux_daemon/serving/relay.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/serving/relay.py
@@ -1,4 +1,7 @@
-"""Relay of one attempt: only frames of this attempt, in sequence."""
+"""Relay of an engine's token stream into the answer of a request.
+
+Only frames of the current attempt, in sequence, reach the answer.
+"""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -25,7 +28,7 @@
 
 
 class BreakCause(StrEnum):
-    """Why an attempt gave no whole answer."""
+    """Why an attempt did not complete its answer."""
 
     CONNECT = 'connect'
     REFUSED = 'refused'
@@ -39,7 +42,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class AttemptBroken:
-    """The attempt gave no whole answer; tokens so far are kept."""
+    """The attempt did not complete the answer; its tokens so far are kept."""
 
     cause: BreakCause
     reason: str
@@ -48,17 +51,17 @@
 
 @dataclass(kw_only=True, slots=True)
 class Progress:
-    """When an attempt last gave something, for the watch over silence."""
+    """Activity of an attempt's stream, for the detection of stalls."""
 
     started_at: float
     last_event_at: float
     has_event: bool = False
-    """Set by each event; the watch takes the time and resets it."""
+    """Set by each event; the watch resets it and records the time."""
     tokens: int = 0
     """Tokens that this attempt added to the answer."""
 
 
-DropFrame = Callable[[FrameFault], None]
+FrameDropHandler = Callable[[FrameFault], None]
 
 
 async def relay_attempt(
@@ -67,9 +70,9 @@
     active: ActiveRequest,
     *,
     progress: Progress,
-    on_dropped: DropFrame,
+    on_dropped: FrameDropHandler,
 ) -> StreamEnd | AttemptBroken:
-    """Append the tokens of an attempt until its end marker."""
+    """Append the tokens of an attempt to the answer until its end marker."""
     while True:
         event = await stream.receive()
         if isinstance(event, StreamBroken):
@@ -84,19 +87,20 @@
         progress.has_event = True
         if isinstance(event, StreamEnd):
             return event
-        fresh = event.tokens[received - event.offset :]
-        progress.tokens += len(fresh)
-        active.extend(fresh)
+        new_tokens = event.tokens[received - event.offset :]
+        progress.tokens += len(new_tokens)
+        active.extend(new_tokens)
 
 
 def find_fault(
     event: TokenFrame | StreamEnd, call: EngineCall, received: int
 ) -> FrameFault | None:
-    """Return why a frame must not reach the caller, if it must not.
+    """Return why a frame must not reach the caller, None if it may.
 
-    A frame that overlaps what was received is no fault: its new tokens
-    are taken. An end marker has to agree with what was received, else
-    the caller would take a truncated answer for a whole one.
+    A frame may overlap the tokens received before; only its new tokens
+    are used. The total of an end marker has to equal the number of
+    received tokens, or the caller would accept a truncated answer as
+    complete.
     """
     if event.request != call.request:
         return FrameFault.FOREIGN
--- a/packages/mimosamux-daemon/mimosamux_daemon/serving/repeatable_calls.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/serving/repeatable_calls.py
@@ -1,4 +1,4 @@
-"""Calls of services that may be repeated."""
+"""Retries of repeatable service calls, limited by budget and deadline."""
 
 from dataclasses import dataclass
 
@@ -22,32 +22,36 @@
 log = get_log('services')
 
 RETRY_AFTER_S = 1.0
-"""When to come again if the retry budget was used up."""
+"""Retry-After of a call that was refused without having run."""
 
 
 @dataclass(kw_only=True, slots=True)
 class _Progress:
-    """What was tried of one call so far."""
+    """Attempts of one call so far."""
 
     excluding: frozenset[EndpointId] = frozenset()
+    """Endpoints that did not answer the call."""
     may_have_run: bool = False
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class RepeatableCalls:
-    """Sends a call until it is answered, within budget and deadline."""
+    """Retries a call until it is answered, within budget and deadline."""
 
     services: Services
     choose: ChooseEndpoint
     budget: RetryBudget
 
     async def call(self, call: ServiceCall) -> Outcome:
-        """Run the call at least once, or say that it did not run."""
+        """Run the call at least once, or report why there is no answer.
+
+        A call that cannot have run is refused; any other one failed.
+        """
         self.budget.note_request(call.work_class)
         progress = _Progress()
         with anyio.CancelScope(deadline=call.deadline):
             return await self._try_endpoints(call, progress)
-        return _end_without_answer(
+        return _as_failure(
             call, progress, Reason.DEADLINE, 'the deadline of its class passed'
         )
 
@@ -59,10 +63,10 @@
             if isinstance(endpoint, Refused):
                 if not progress.may_have_run:
                     return endpoint
-                return _end_without_answer(
+                return _as_failure(
                     call, progress, Reason.ENDPOINT_FAILED, endpoint.message
                 )
-            ran_before = progress.may_have_run
+            may_have_run_before = progress.may_have_run
             progress.may_have_run = True
             answer = await self.services.call(endpoint, call)
             if isinstance(answer, ServiceAnswer):
@@ -73,7 +77,7 @@
                     body=answer.body,
                 )
             if isinstance(answer, ConnectFailed):
-                progress.may_have_run = ran_before
+                progress.may_have_run = may_have_run_before
             progress.excluding |= {endpoint.id}
             log.info(
                 'call_unanswered',
@@ -82,7 +86,7 @@
                 reason=answer.reason,
             )
             if not self.budget.take(call.work_class):
-                return _end_without_answer(
+                return _as_failure(
                     call,
                     progress,
                     Reason.RETRY_BUDGET,
@@ -90,7 +94,7 @@
                 )
 
 
-def _end_without_answer(
+def _as_failure(
     call: ServiceCall, progress: _Progress, reason: Reason, message: str
 ) -> Failed | Refused:
     if progress.may_have_run:
--- a/packages/mimosamux-daemon/mimosamux_daemon/serving/service_calls.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/serving/service_calls.py
@@ -1,4 +1,7 @@
-"""Calls of plain services: admission, and one path for each kind."""
+"""Service calls: admission, then the path for the call's class.
+
+Repeatable calls are retried; non-repeatable calls run at most once.
+"""
 
 from dataclasses import dataclass
 
@@ -19,11 +22,12 @@
 from mimosamux_daemon.serving.side_effects import SideEffects, refuse_unchecked
 
 ONLY_ATTEMPT = 1
+"""Attempt number in the fleet's load counts; calls have only one."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class CountedServices:
-    """The `Services` port, with each open call counted in the fleet."""
+    """`Services` port that counts open calls and failed connects."""
 
     services: Services
     fleet: Fleet
@@ -31,7 +35,7 @@
     async def call(
         self, endpoint: Endpoint, call: ServiceCall
     ) -> ServiceAnswer | ConnectFailed | ServiceUnanswered:
-        """Send one call."""
+        """Send a call and count it in the load of its endpoint."""
         self.fleet.note_sent(endpoint.id, call.id, ONLY_ATTEMPT)
         try:
             answer = await self.services.call(endpoint, call)
@@ -44,7 +48,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ServiceCalls:
-    """Takes calls in, and has each run as its class allows."""
+    """Admits calls and runs each as its class requires."""
 
     side_effects: SideEffects
     repeatable: RepeatableCalls
@@ -54,7 +58,7 @@
     async def call(
         self, call: ServiceCall, configuration: Configuration
     ) -> Outcome:
-        """Return the outcome of a call."""
+        """Admit and run a call; return its outcome."""
         account = configuration.accounts[call.account]
         refused = self.admission.acquire(account, call)
         if refused is not None:
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -120,7 +120,7 @@
                 fleet.note_connect(name, failed=failed)
                 await anyio.sleep(0.01 if failed else 4.0)
                 fleet.note_finished(name, RequestId(name))
-            seen_s = fleet.service_times.of_model(MODEL, unseen_s=9.0)
+            seen_s = fleet.service_times.mean_of_model(MODEL, default_s=9.0)
             self.assertAlmostEqual(seen_s, 4.0)
 
         run_paused(check)
