--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/evacuation.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/evacuation.py
@@ -20,7 +20,7 @@
 from mimosamux_daemon.gateway.running_stream import RunningStream, StreamCopy
 from mimosamux_daemon.gateway.stream_moves import COPY_TIMEOUT_S, StreamMoves
 from mimosamux_daemon.logs import get_log
-from mimosamux_daemon.ports.run_moves import EndpointOutlook, RunMoves
+from mimosamux_daemon.ports.run_moves import DepartureReport, RunMoves
 
 log = get_log('evacuation')
 
@@ -141,30 +141,30 @@
         """Query an endpoint for its time of removal until it answers."""
         record = departure.record
         while record.leaves_at is None and self.clock() < departure.removed_at:
-            outlook = await self.moves.look(record.listed)
-            departure.is_query_unanswered = isinstance(outlook, Unavailable)
-            if isinstance(outlook, EndpointOutlook):
-                self._apply_outlook(record, outlook)
+            report = await self.moves.fetch_departure(record.listed)
+            departure.is_query_unanswered = isinstance(report, Unavailable)
+            if isinstance(report, DepartureReport):
+                self._apply_report(record, report)
                 return
             log.info(
                 'endpoint_end_unknown',
                 endpoint=record.id,
-                reason=outlook.reason,
+                reason=report.reason,
             )
             await anyio.sleep(CHECK_INTERVAL_S)
 
-    def _apply_outlook(
-        self, record: EndpointRecord, outlook: EndpointOutlook
+    def _apply_report(
+        self, record: EndpointRecord, report: DepartureReport
     ) -> None:
         """Store and announce a reported time of removal.
 
         A report of another incarnation is ignored.
         """
-        if outlook.leaves_in_s is None:
+        if report.leaves_in_s is None:
             return
-        if 0 < record.incarnation != outlook.incarnation > 0:
+        if 0 < record.incarnation != report.incarnation > 0:
             return
-        record.leaves_at = self.clock() + outlook.leaves_in_s
+        record.leaves_at = self.clock() + report.leaves_in_s
         self.notify_peers(record)
 
     async def _wait_for_copy_time(self, departure: Departure) -> None:
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/feed_reader.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/feed_reader.py
@@ -21,7 +21,7 @@
     Feed,
     FeedNews,
     FeedRow,
-    FeedState,
+    FeedSnapshot,
     HistoryLost,
     Unreadable,
 )
@@ -125,7 +125,7 @@
             if cursor is None or not self.can_refresh or age_s <= older_than_s:
                 return
             sent_at = self._clock()
-            answer = await self._feed.look(cursor, timeout_s=timeout_s)
+            answer = await self._feed.poll(cursor, timeout_s=timeout_s)
             if isinstance(answer, FeedNews):
                 self._apply_answer(answer, max(sent_at, answer.as_of))
             self._refresh_failed = self.age_s > older_than_s
@@ -174,13 +174,13 @@
         self._apply_answer(answer, max(sent_at, answer.as_of))
 
     def _apply_answer(
-        self, answer: FeedState[ItemT] | FeedNews[ItemT], as_of: float
+        self, answer: FeedSnapshot[ItemT] | FeedNews[ItemT], as_of: float
     ) -> None:
         if self._cursor is not None and answer.cursor < self._cursor:
             # A peer's update has brought a newer state meanwhile: the older
             # rows of this answer would undo later changes.
             return
-        if isinstance(answer, FeedState):
+        if isinstance(answer, FeedSnapshot):
             # A whole read is not shared: it does not say which row changed
             # last, and each peer would read the table to find it.
             self._consumer.replace(answer.items_by_key)
@@ -238,11 +238,11 @@
 
     async def _fetch(
         self,
-    ) -> FeedState[ItemT] | FeedNews[ItemT] | HistoryLost | Unavailable:
+    ) -> FeedSnapshot[ItemT] | FeedNews[ItemT] | HistoryLost | Unavailable:
         """Read the whole table, or the changes after the cursor."""
         if self._cursor is None:
             return await self._feed.read()
-        return await self._feed.follow(
+        return await self._feed.long_poll(
             self._cursor, wait_s=self._long_poll_s()
         )
 
--- a/packages/mimosamux-daemon/mimosamux_daemon/ports/feeds.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/ports/feeds.py
@@ -33,7 +33,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class FeedState(Generic[ItemT]):
+class FeedSnapshot(Generic[ItemT]):
     """Snapshot of a table."""
 
     items_by_key: Mapping[str, ItemT | Unreadable]
@@ -63,10 +63,10 @@
 class Feed(Protocol[ItemT]):
     """Change feed of one table."""
 
-    async def read(self) -> FeedState[ItemT] | Unavailable:
+    async def read(self) -> FeedSnapshot[ItemT] | Unavailable:
         """Return a snapshot of the table."""
 
-    async def follow(
+    async def long_poll(
         self, cursor: int, *, wait_s: float
     ) -> FeedNews[ItemT] | HistoryLost | Unavailable:
         """Return the changes after a cursor, by long polling.
@@ -75,7 +75,7 @@
         without changes.
         """
 
-    async def look(
+    async def poll(
         self, cursor: int, *, timeout_s: float
     ) -> FeedNews[ItemT] | HistoryLost | Unavailable:
         """Return the changes after a cursor without waiting for any.
--- a/packages/mimosamux-daemon/mimosamux_daemon/ports/run_moves.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/ports/run_moves.py
@@ -12,7 +12,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class EndpointOutlook:
+class DepartureReport:
     """Announced departure of an endpoint."""
 
     leaves_in_s: float | None
@@ -65,9 +65,9 @@
 class RunMoves(Protocol):
     """Migration calls to the engines of a service."""
 
-    async def look(
+    async def fetch_departure(
         self, endpoint: ListedEndpoint
-    ) -> EndpointOutlook | Unavailable:
+    ) -> DepartureReport | Unavailable:
         """Ask an endpoint when it will be removed."""
 
     async def copy(
--- a/tests/test_platform_input.py
+++ b/tests/test_platform_input.py
@@ -267,7 +267,7 @@
                 parse_item=lambda row, data: parse_endpoint(row.key, data),
                 note_time=lambda seconds: seconds,
             )
-            return await feed.follow(0, wait_s=0.1)
+            return await feed.long_poll(0, wait_s=0.1)
 
         return run_paused(lambda: answer_with(data, use))
 
