--- a/packages/mimosamux-daemon/mimosamux_daemon/domain/gateway.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/domain/gateway.py
@@ -22,14 +22,14 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class PromptUse:
+class PromptInfo:
     """Token counts and prompt segments that a request declares."""
 
     model: str = ''
-    tokens_in: int = 0
-    most_tokens_out: int = 0
+    prompt_tokens: int = 0
+    max_answer_tokens: int = 0
     """Maximum length of the answer."""
-    likely_tokens_out: int | None = None
+    expected_answer_tokens: int | None = None
     """Caller's estimate of the answer length.
 
     Its median is right, but single estimates are often far off.
@@ -40,15 +40,15 @@
     @property
     def tokens(self) -> int:
         """Return the tokens that the request counts against a usage cap."""
-        return self.tokens_in + self.most_tokens_out
+        return self.prompt_tokens + self.max_answer_tokens
 
     @property
-    def own_tokens(self) -> int:
+    def unshared_tokens(self) -> int:
         """Return the prompt tokens that no other request shares."""
-        return self.parts[-1].tokens if self.parts else self.tokens_in
+        return self.parts[-1].tokens if self.parts else self.prompt_tokens
 
     @property
-    def shared_key(self) -> str:
+    def shared_prefix_id(self) -> str:
         """Return the id of the longest shareable prefix, empty without one."""
         return self.parts[-2].id if len(self.parts) > 1 else ''
 
@@ -64,9 +64,9 @@
     host: str
     received_at: float
     key: str | None = None
-    patience_s: float | None = None
+    caller_timeout_s: float | None = None
     """Time for which the caller waits; None: not stated."""
-    prompt: PromptUse | None = None
+    prompt: PromptInfo | None = None
     last_event_id: str | None = None
     """Id of the event after which the caller resumes a stream."""
 
@@ -91,7 +91,7 @@
     market: Market = Market.ON_DEMAND
     leaves_in_s: float | None = None
     """Time until the endpoint is removed; None: not known."""
-    slow_for_s: float = 0.0
+    warm_up_left_s: float = 0.0
     """Rest of the warm-up time, during which the endpoint is slow."""
     software: str = ''
     incarnation: int = 0
@@ -115,10 +115,10 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class BrokenOff:
+class AnswerTruncated:
     """The caller got a truncated answer, recognisable as incomplete."""
 
     reason: str
 
 
-GatewayOutcome = Delivered | Refused | Failed | CallerGone | BrokenOff
+GatewayOutcome = Delivered | Refused | Failed | CallerGone | AnswerTruncated
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/answer_relay.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/answer_relay.py
@@ -11,7 +11,7 @@
 import anyio
 
 from mimosamux_daemon.domain.gateway import (
-    BrokenOff,
+    AnswerTruncated,
     CallerGone,
     Delivered,
     GatewayOutcome,
@@ -94,7 +94,7 @@
     while is_sent:
         part = await answer.receive()
         if isinstance(part, CallBroken):
-            return BrokenOff(reason=part.reason)
+            return AnswerTruncated(reason=part.reason)
         if part is None:
             await job.sink.finish()
             return Delivered(status=answer.status)
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/choice.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/choice.py
@@ -12,7 +12,7 @@
 
 import xxhash
 
-from mimosamux_daemon.domain.gateway import PromptUse
+from mimosamux_daemon.domain.gateway import PromptInfo
 from mimosamux_daemon.domain.names import (
     DataCentreName,
     EndpointId,
@@ -93,7 +93,7 @@
         self,
         service: ServiceEntry,
         route: Route,
-        prompt: PromptUse | None,
+        prompt: PromptInfo | None,
         *,
         request_id: str = '',
         trial_weight: float = 1.0,
@@ -152,13 +152,15 @@
         )
 
     def estimate_engine_s(
-        self, service: ServiceName, prompt: PromptUse
+        self, service: ServiceName, prompt: PromptInfo
     ) -> float:
         """Return the estimated engine time of a request."""
-        output_tokens = prompt.likely_tokens_out
+        output_tokens = prompt.expected_answer_tokens
         if output_tokens is None:
-            output_tokens = int(prompt.most_tokens_out * OUTPUT_ESTIMATE_SHARE)
-        prefill_s = self.speed_of(service).prefill_s(prompt.own_tokens)
+            output_tokens = int(
+                prompt.max_answer_tokens * OUTPUT_ESTIMATE_SHARE
+            )
+        prefill_s = self.speed_of(service).prefill_s(prompt.unshared_tokens)
         return prefill_s + output_tokens * ENGINE_S_PER_OUTPUT_TOKEN
 
     def _choose_engine(
@@ -166,7 +168,7 @@
         records: Sequence[EndpointRecord],
         service: ServiceEntry,
         route: Route,
-        prompt: PromptUse,
+        prompt: PromptInfo,
         now: float,
     ) -> Choice:
         """Return the first endpoint in hash order that is fast enough.
@@ -179,7 +181,7 @@
             self._estimate(record, service, prompt, holder, now)
             for record in records
         ]
-        prefix_key = prompt.shared_key
+        prefix_key = prompt.shared_prefix_id
         choices.sort(
             key=lambda choice: _rendezvous_hash(choice.record.id, prefix_key)
         )
@@ -190,7 +192,7 @@
         )
 
     def _find_holder(
-        self, service: ServiceEntry, prompt: PromptUse
+        self, service: ServiceEntry, prompt: PromptInfo
     ) -> EndpointRecord | None:
         """Return the endpoint that caches most of a prompt's shared prefix.
 
@@ -214,7 +216,7 @@
         self,
         record: EndpointRecord,
         service: ServiceEntry,
-        prompt: PromptUse,
+        prompt: PromptInfo,
         holder: EndpointRecord | None,
         now: float,
     ) -> Choice:
@@ -227,7 +229,7 @@
             held_tokens = self.prefix_index.cached_tokens(holder.id, prompt)
             if held_tokens - cached >= MIN_FETCH_TOKENS:
                 fetch_from, cached = holder, held_tokens
-        unread_tokens = max(prompt.tokens_in - cached, 1.0)
+        unread_tokens = max(prompt.prompt_tokens - cached, 1.0)
         first_event_s = speed.constant_s + speed.prefill_s(
             load.unread_tokens + unread_tokens
         )
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/endpoint_record.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/endpoint_record.py
@@ -86,7 +86,7 @@
 
     def is_warming_up(self, now: float) -> bool:
         """Whether it is within its slow period after a start."""
-        return now < self.listed_at + self.listed.slow_for_s
+        return now < self.listed_at + self.listed.warm_up_left_s
 
     def is_unreachable(self, now: float) -> bool:
         """Whether connections to it fail and the next attempt is not due."""
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/forwarding.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/forwarding.py
@@ -13,7 +13,7 @@
 import anyio
 
 from mimosamux_daemon.domain.gateway import (
-    BrokenOff,
+    AnswerTruncated,
     CallerGone,
     Delivered,
     GatewayOutcome,
@@ -386,7 +386,7 @@
     def _end_at_deadline(self, job: Job) -> GatewayOutcome:
         """Return the outcome of a job whose deadline has passed."""
         if job.sink.is_started:
-            return BrokenOff(reason='no whole answer in time')
+            return AnswerTruncated(reason='no whole answer in time')
         return job.give_up(
             Reason.DEADLINE,
             'no answer in time',
@@ -397,5 +397,5 @@
 def _failure_after_send(job: Job, reason: str) -> GatewayOutcome:
     """Return the outcome of a request that failed and may have run."""
     if job.sink.is_started:
-        return BrokenOff(reason=reason)
+        return AnswerTruncated(reason=reason)
     return job.fail(Reason.ENDPOINT_FAILED, reason)
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/jobs.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/jobs.py
@@ -93,10 +93,10 @@
 
     def left_s(self, now: float) -> float:
         """Return the time left until the request's deadline."""
-        patience_s = self.request.patience_s
+        caller_timeout_s = self.request.caller_timeout_s
         limit_s = min(
             self.route.timeout_s,
-            math.inf if patience_s is None else patience_s,
+            math.inf if caller_timeout_s is None else caller_timeout_s,
         )
         return self.request.received_at + limit_s - now
 
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/outcome_log.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/outcome_log.py
@@ -5,7 +5,7 @@
 from functools import singledispatch
 
 from mimosamux_daemon.domain.gateway import (
-    BrokenOff,
+    AnswerTruncated,
     CallerGone,
     Delivered,
     GatewayOutcome,
@@ -120,7 +120,7 @@
 
 
 @describe_outcome.register
-def _(outcome: BrokenOff) -> dict[str, object]:
+def _(outcome: AnswerTruncated) -> dict[str, object]:
     return {
         'outcome': 'broken_off',
         'reason': Reason.ENDPOINT_FAILED,
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/prefix_cache_index.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/prefix_cache_index.py
@@ -10,7 +10,7 @@
 
 from mimosamux_wire import PartsRead, StateDigest
 
-from mimosamux_daemon.domain.gateway import PromptUse
+from mimosamux_daemon.domain.gateway import PromptInfo
 from mimosamux_daemon.domain.names import EndpointId
 from mimosamux_daemon.gateway.peer_states import PeerState
 
@@ -38,7 +38,7 @@
         """Parts not sent to peers yet, by endpoint and incarnation."""
 
     def note_read(
-        self, endpoint: EndpointId, prompt: PromptUse, incarnation: int = 0
+        self, endpoint: EndpointId, prompt: PromptInfo, incarnation: int = 0
     ) -> None:
         """Record that an incarnation of an endpoint has prefilled a prompt."""
         if not self._is_current(endpoint, incarnation):
@@ -60,7 +60,7 @@
         for key in [each for each in self._unsent if each[0] == endpoint]:
             del self._unsent[key]
 
-    def cached_tokens(self, endpoint: EndpointId, prompt: PromptUse) -> int:
+    def cached_tokens(self, endpoint: EndpointId, prompt: PromptInfo) -> int:
         """Return the tokens of a prompt that are likely cached at an endpoint.
 
         A part counts only if all parts before it are cached as well. The
--- a/tests/test_gateway_endpoints.py
+++ b/tests/test_gateway_endpoints.py
@@ -3,7 +3,7 @@
 import unittest
 
 import anyio
-from mimosamux_daemon.domain.gateway import PromptPart, PromptUse
+from mimosamux_daemon.domain.gateway import PromptInfo, PromptPart
 from mimosamux_daemon.domain.names import EndpointId
 from mimosamux_daemon.gateway.roster import GONE_RETENTION_S
 from mimosamux_standins.site.store import StoreTrouble
@@ -13,9 +13,9 @@
 from tests.support.platform_site import STORE, open_site
 
 LEARNED_S = 2.0
-USE = PromptUse(
+USE = PromptInfo(
     model='m',
-    tokens_in=600,
+    prompt_tokens=600,
     parts=(PromptPart(id='a1', tokens=500), PromptPart(id='b2', tokens=100)),
 )
 
--- a/tests/test_gateway_restarts.py
+++ b/tests/test_gateway_restarts.py
@@ -6,8 +6,8 @@
 from mimosamux_daemon.domain.gateway import (
     EndpointState,
     ListedEndpoint,
+    PromptInfo,
     PromptPart,
-    PromptUse,
 )
 from mimosamux_daemon.domain.names import (
     DaemonId,
@@ -47,9 +47,9 @@
 BORN = 1_790_000_000_000
 LATER = BORN + 60_000
 PEER = DaemonId('10.2.0.1:8367')
-PROMPT_USE = PromptUse(
+PROMPT_USE = PromptInfo(
     model='m',
-    tokens_in=600,
+    prompt_tokens=600,
     parts=(PromptPart(id='a1', tokens=500), PromptPart(id='b2', tokens=100)),
 )
 
--- a/tests/test_platform_input.py
+++ b/tests/test_platform_input.py
@@ -514,5 +514,5 @@
             (b'X-Deadline-Ms', patience),
         )
         self.assertGreaterEqual(request.prompt.tokens, 0)
-        if request.patience_s is not None:
-            self.assertGreaterEqual(request.patience_s, 0)
+        if request.caller_timeout_s is not None:
+            self.assertGreaterEqual(request.caller_timeout_s, 0)
