--- a/benchmarks/bench_waves.py
+++ b/benchmarks/bench_waves.py
@@ -171,11 +171,11 @@
 
 async def watch_pauses(active: ActiveRequest, pauses: list[float]) -> None:
     """Keep the longest time between two tokens of an answer."""
-    await active.wait_beyond(0)
+    await active.wait_for_tokens(0)
     longest = 0.0
     while not active.has_ended:
         before = anyio.current_time()
-        await active.wait_beyond(len(active.tokens))
+        await active.wait_for_tokens(len(active.tokens))
         longest = max(longest, anyio.current_time() - before)
     pauses.append(longest)
 
--- a/packages/mimosamux-daemon/mimosamux_daemon/api/streams.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/api/streams.py
@@ -76,7 +76,7 @@
     try:
         while True:
             with anyio.move_on_after(KEEP_ALIVE_S) as waiting:
-                await active.wait_beyond(offset)
+                await active.wait_for_tokens(offset)
             if waiting.cancelled_caught:
                 yield KEEP_ALIVE
             elif len(active.tokens) > offset:
--- a/packages/mimosamux-daemon/mimosamux_daemon/serving/attempts.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/serving/attempts.py
@@ -1,4 +1,4 @@
-"""One attempt of a request on an endpoint, while it runs."""
+"""A running attempt: one call of an endpoint's engine for a request."""
 
 from contextlib import AbstractAsyncContextManager
 from dataclasses import dataclass, field
@@ -29,7 +29,10 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Transferred:
-    """The KV cache of the request stands ready at another endpoint."""
+    """The request's KV cache has been copied to another endpoint.
+
+    `handle` names the copy there and `tokens` is its size.
+    """
 
     choice: Choice
     handle: str
@@ -38,7 +41,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class CallerGone:
-    """Nobody reads the answer, and the class says to stop then."""
+    """All readers have left, and the class cancels such requests."""
 
 
 Interruption = AttemptBroken | Transferred | CallerGone
@@ -50,49 +53,55 @@
 
 @dataclass(kw_only=True, slots=True, eq=False)
 class Attempt:
-    """A running attempt; others may interrupt it with a reason."""
+    """A running attempt, which other tasks may interrupt with a reason."""
 
     active: ActiveRequest
     call: EngineCall
     endpoint: Endpoint
     state: EndpointState | None
     estimate_s: float
-    """Time to the first token that the choice was made with."""
-    patience: float
-    """Factor on the usual patience with a silent engine."""
+    """Time to the first token, as estimated by the router."""
+    timeout_factor: float
+    """Factor on the time-out for an engine that sends no events."""
     progress: Progress
     on_dropped: FrameDropHandler
     scope: anyio.CancelScope = field(default_factory=anyio.CancelScope)
     interruption: Interruption | None = None
-    moving: anyio.Event | None = None
-    """Set once the move of its KV cache has succeeded or failed."""
+    transfer_done: anyio.Event | None = None
+    """Set once the running KV-cache transfer has succeeded or failed.
+
+    None while no transfer runs.
+    """
 
     @property
     def context_tokens(self) -> int:
-        """Tokens of prompt and answer, estimated for the prompt."""
+        """Tokens of the prompt (estimated) and of the answer so far."""
         return count_tokens(self.call.prompt) + len(self.active.tokens)
 
     @property
     def is_leaving(self) -> bool:
-        """Whether its endpoint goes away."""
+        """Whether the endpoint is about to go away."""
         return self.state is not None and self.state.is_leaving
 
-    def interrupt(self, why: Interruption) -> None:
-        """Stop the attempt; the first reason counts."""
+    def interrupt(self, interruption: Interruption) -> None:
+        """Stop the attempt; only the first reason counts."""
         if self.interruption is None:
-            self.interruption = why
+            self.interruption = interruption
             self.scope.cancel()
 
     async def run(self, opened: OpenedStream) -> AttemptResult:
-        """Relay the answer until its end, a break or an interruption."""
+        """Relay the answer until it ends, breaks or is interrupted."""
         result: AttemptResult | None = None
         with self.scope:
             async with opened as stream:
                 result = await self._relay(stream)
-        if isinstance(result, AttemptBroken) and self.moving is not None:
-            # An export stops the stream, which looks like a break: the
-            # move that asked for it decides how the request goes on.
-            await self.moving.wait()
+        if (
+            isinstance(result, AttemptBroken)
+            and self.transfer_done is not None
+        ):
+            # Exporting the KV cache ends the stream, which looks like a
+            # broken attempt. The transfer decides how the request continues.
+            await self.transfer_done.wait()
             return self.interruption or AttemptBroken(
                 cause=BreakCause.RECLAIM, reason=result.reason
             )
@@ -128,5 +137,5 @@
 
 
 def count_tokens(prompt: str) -> int:
-    """Return about how many tokens a prompt has."""
+    """Return the estimated number of tokens of a prompt."""
     return max(1, len(prompt) // BYTES_PER_TOKEN)
--- a/packages/mimosamux-daemon/mimosamux_daemon/serving/drivers.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/serving/drivers.py
@@ -1,4 +1,4 @@
-"""Drives one accepted request over its attempts to its outcome."""
+"""Runs an accepted request: attempts, retries with backoff, outcome."""
 
 from dataclasses import dataclass, field
 
@@ -19,7 +19,7 @@
     Transferred,
     count_tokens,
 )
-from mimosamux_daemon.serving.endings import answered, failed, given_up
+from mimosamux_daemon.serving.endings import abandoned, answered, failed
 from mimosamux_daemon.serving.fleet import Fleet
 from mimosamux_daemon.serving.relay import (
     AttemptBroken,
@@ -35,19 +35,22 @@
 
 log = get_log('serving')
 
-SHORTEST_PAUSE_S = 0.05
-LONGEST_PAUSE_S = 1.0
-"""Pauses between looks for an endpoint double between these two."""
-PAID_CAUSES = frozenset({BreakCause.STREAM, BreakCause.FRAMES})
-"""Breaks that spend the retry budget; silence has paid before."""
-FLAT_REFUSALS = 3
-"""Refusals without a time to come again, in a row, that end a request."""
+MIN_BACKOFF_S = 0.05
+MAX_BACKOFF_S = 1.0
+"""Exponential backoff between attempts, and while no endpoint is free."""
+BUDGETED_CAUSES = frozenset({BreakCause.STREAM, BreakCause.FRAMES})
+"""Causes that take a retry from the budget.
+
+`AttemptWatch` already took one for an attempt that it timed out.
+"""
+MAX_HARD_REFUSALS = 3
+"""Refusals without a Retry-After since the last token that end a request."""
 CANCEL_TIMEOUT_S = 1.0
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class DriverParts:
-    """What all drivers of a daemon share."""
+    """Dependencies shared by all request drivers of a daemon."""
 
     engines: Engines
     fleet: Fleet
@@ -60,51 +63,57 @@
 
 @dataclass(kw_only=True, slots=True, eq=False)
 class RequestDriver:
-    """One accepted request and the state of its attempts."""
+    """Runs one accepted request over its attempts.
+
+    `is_parked` says that `run` was stopped for a hand-over to a peer.
+    """
 
     parts: DriverParts
     active: ActiveRequest
     scope: anyio.CancelScope = field(default_factory=anyio.CancelScope)
     stopped: anyio.Event = field(default_factory=anyio.Event)
     is_parked: bool = False
-    cause: BreakCause | None = None
-    """Why the last attempt broke."""
-    computed_before: bool = False
-    """Whether an engine has computed the prompt already."""
-    silences: int = 0
-    flat_refusals: int = 0
-    pause: float = SHORTEST_PAUSE_S
+    last_cause: BreakCause | None = None
+    """Why the last attempt broke, or was moved."""
+    has_prefilled: bool = False
+    """Whether an engine has computed the prompt before."""
+    silence_timeouts: int = 0
+    hard_refusals: int = 0
+    backoff_s: float = MIN_BACKOFF_S
 
     async def run(self, choice: Choice | None) -> None:
-        """Serve until the outcome, the deadline, or being parked."""
+        """Run attempts until an outcome, the deadline or a hand-over.
+
+        The first attempt uses `choice` if it is given.
+        """
         request = self.active.request
         self.scope.deadline = request.deadline
         try:
             with self.scope:
-                await self._go_through_attempts(choice)
+                await self._run_attempts(choice)
             if not (self.active.has_ended or self.is_parked):
-                self.active.end(given_up(self.active))
+                self.active.end(abandoned(self.active))
         finally:
             self.stopped.set()
 
-    async def _go_through_attempts(self, choice: Choice | None) -> None:
+    async def _run_attempts(self, choice: Choice | None) -> None:
         handle: str | None = None
         while not self.active.has_ended:
             if choice is None:
-                choice = await self._next_choice()
+                choice = await self._wait_for_choice()
             result = await self._attempt(choice, handle)
             choice, handle = None, None
             if isinstance(result, StreamEnd):
                 self.active.end(answered(self.active, result))
             elif isinstance(result, Transferred):
                 choice, handle = result.choice, result.handle
-                self.cause = BreakCause.RECLAIM
+                self.last_cause = BreakCause.RECLAIM
             elif isinstance(result, CallerGone):
                 self.active.end(failed(self.active, Reason.CALLER_GONE))
             else:
-                await self._after_break(result)
+                await self._handle_break(result)
 
-    async def _next_choice(self) -> Choice:
+    async def _wait_for_choice(self) -> Choice:
         while True:
             suspects = self.parts.suspects.current()
             choice = self._choose(suspects)
@@ -112,7 +121,7 @@
                 choice = self._choose(frozenset())
             if choice is not None:
                 return choice
-            await self._pause()
+            await self._back_off()
 
     def _choose(self, excluding: frozenset[EndpointId]) -> Choice | None:
         choice = self.parts.router.choose(
@@ -123,9 +132,9 @@
         )
         return choice if isinstance(choice, Choice) else None
 
-    async def _pause(self, at_least: float = 0.0) -> None:
-        await anyio.sleep(max(self.pause, at_least))
-        self.pause = min(2 * self.pause, LONGEST_PAUSE_S)
+    async def _back_off(self, min_s: float = 0.0) -> None:
+        await anyio.sleep(max(self.backoff_s, min_s))
+        self.backoff_s = min(2 * self.backoff_s, MAX_BACKOFF_S)
 
     async def _attempt(
         self, choice: Choice, handle: str | None
@@ -154,9 +163,9 @@
         finally:
             self.parts.watch.remove(attempt)
             fleet.note_finished(endpoint.id, request.id)
-        fleet.note_connect(endpoint.id, failed=has_not_connected(result))
+        fleet.note_connect(endpoint.id, failed=is_connect_failure(result))
         self._note_result(attempt, result, choice, handle)
-        if isinstance(result, CallerGone) or is_silence(result):
+        if isinstance(result, CallerGone) or is_silence_timeout(result):
             await self._cancel(attempt)
         return result
 
@@ -180,7 +189,7 @@
             endpoint=choice.endpoint,
             state=self.parts.fleet.by_id.get(choice.endpoint.id),
             estimate_s=choice.first_token_s,
-            patience=2.0**self.silences,
+            timeout_factor=2.0**self.silence_timeouts,
             progress=Progress(started_at=now, last_event_at=now),
             on_dropped=self._drop_frame,
         )
@@ -195,12 +204,12 @@
         choice: Choice,
         handle: str | None,
     ) -> None:
-        if self.computed_before and attempt.progress.tokens:
+        if self.has_prefilled and attempt.progress.tokens:
             self._count_recomputed(attempt, result, choice, handle)
         if attempt.progress.tokens:
-            self.computed_before = True
-            self.pause = SHORTEST_PAUSE_S
-            self.flat_refusals = 0
+            self.has_prefilled = True
+            self.backoff_s = MIN_BACKOFF_S
+            self.hard_refusals = 0
         if isinstance(result, AttemptBroken):
             self.parts.suspects.note(attempt.endpoint.id, result.cause)
             self.parts.metrics.attempts_broken.inc(
@@ -222,7 +231,7 @@
         choice: Choice,
         handle: str | None,
     ) -> None:
-        """Count what the engine computed again, or the best estimate."""
+        """Count the recomputed tokens: as reported, else as estimated."""
         if isinstance(result, StreamEnd):
             tokens = result.computed_tokens
         elif handle is not None:
@@ -232,36 +241,36 @@
             context += len(attempt.call.answer_so_far)
             tokens = max(0, context - choice.cached_tokens)
         self.parts.metrics.tokens_recomputed.add(
-            {'cause': str(self.cause)}, tokens
+            {'cause': str(self.last_cause)}, tokens
         )
 
-    async def _after_break(self, broken: AttemptBroken) -> None:
-        self.cause = broken.cause
+    async def _handle_break(self, broken: AttemptBroken) -> None:
+        self.last_cause = broken.cause
         request = self.active.request
         if broken.cause is BreakCause.LEAVING:
             return
         if broken.cause is BreakCause.CONNECT:
-            await self._pause()
+            await self._back_off()
             return
         if not request.work_class.repeatable:
-            self.active.end(given_up(self.active))
+            self.active.end(abandoned(self.active))
             return
         if broken.cause is BreakCause.REFUSED:
-            await self._after_refusal(broken)
+            await self._handle_refusal(broken)
         elif broken.cause is BreakCause.SILENT:
-            self.silences += 1
-        elif broken.cause in PAID_CAUSES:
+            self.silence_timeouts += 1
+        elif broken.cause in BUDGETED_CAUSES:
             await self.parts.budget.wait(request.work_class)
 
-    async def _after_refusal(self, broken: AttemptBroken) -> None:
+    async def _handle_refusal(self, broken: AttemptBroken) -> None:
         if broken.retry_after_s is not None:
-            await self._pause(at_least=min(broken.retry_after_s, 5.0))
+            await self._back_off(min_s=min(broken.retry_after_s, 5.0))
             return
-        self.flat_refusals += 1
-        if self.flat_refusals >= FLAT_REFUSALS:
+        self.hard_refusals += 1
+        if self.hard_refusals >= MAX_HARD_REFUSALS:
             self.active.end(failed(self.active, Reason.ENDPOINT_FAILED))
             return
-        await self._pause()
+        await self._back_off()
 
     async def _cancel(self, attempt: Attempt) -> None:
         with anyio.move_on_after(CANCEL_TIMEOUT_S):
@@ -270,15 +279,15 @@
             )
 
 
-def is_silence(result: AttemptResult) -> bool:
-    """Whether the attempt was given up because the engine was silent."""
+def is_silence_timeout(result: AttemptResult) -> bool:
+    """Whether the attempt timed out because the engine sent nothing."""
     return (
         isinstance(result, AttemptBroken) and result.cause is BreakCause.SILENT
     )
 
 
-def has_not_connected(result: AttemptResult) -> bool:
-    """Whether no connection to the endpoint came about."""
+def is_connect_failure(result: AttemptResult) -> bool:
+    """Whether the attempt failed to connect to the endpoint."""
     return (
         isinstance(result, AttemptBroken)
         and result.cause is BreakCause.CONNECT
--- a/packages/mimosamux-daemon/mimosamux_daemon/serving/endings.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/serving/endings.py
@@ -1,4 +1,4 @@
-"""Outcomes of model requests."""
+"""Builds the outcomes of model requests."""
 
 import anyio
 
@@ -20,7 +20,7 @@
 
 
 def answered(active: ActiveRequest, end: StreamEnd) -> Answered:
-    """Return the outcome of a whole answer."""
+    """Return the outcome of a complete answer."""
     return Answered(
         request=active.request.id,
         text=''.join(active.tokens),
@@ -29,8 +29,11 @@
     )
 
 
-def given_up(active: ActiveRequest) -> Outcome:
-    """Return the outcome of a request that does not go on."""
+def abandoned(active: ActiveRequest) -> Outcome:
+    """Return the outcome of a request that is not attempted again.
+
+    It is `Unknown` if no token arrived, as the request may have run.
+    """
     request = active.request
     if anyio.current_time() >= request.deadline:
         return failed(active, Reason.DEADLINE)
@@ -43,7 +46,7 @@
 
 
 def failed(active: ActiveRequest, reason: Reason) -> Failed:
-    """Return the outcome of a request that ran without a whole answer."""
+    """Return the outcome of a request without a complete answer."""
     return Failed(
         request=active.request.id,
         reason=reason,
--- a/packages/mimosamux-daemon/mimosamux_daemon/serving/evacuation.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/serving/evacuation.py
@@ -107,7 +107,7 @@
             if anyio.current_time() + needed > reprompt_at:
                 return
             moved = anyio.Event()
-            attempt.moving = moved
+            attempt.transfer_done = moved
             try:
                 with anyio.CancelScope(
                     deadline=find_move_deadline(reprompt_at)
@@ -130,7 +130,7 @@
             log.info(
                 'kv_not_exported', request=call.request, reason=export.reason
             )
-            attempt.moving = None
+            attempt.transfer_done = None
             return
         moved = await self._import_at_any(attempt, export)
         if moved is not None:
--- a/packages/mimosamux-daemon/mimosamux_daemon/serving/first_tokens.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/serving/first_tokens.py
@@ -1,4 +1,4 @@
-"""First-token times of this daemon's answers, by class of work."""
+"""Times to first token of this daemon's answers, by class of work."""
 
 from collections import deque
 from dataclasses import dataclass
@@ -11,20 +11,20 @@
 LOWEST_MS = 1
 HIGHEST_MS = 3_600_000
 SIGNIFICANT_FIGURES = 2
-RECENT = 200
-"""Answers of a class that the share within target is taken over."""
+RECENT_ANSWERS = 200
+"""Newest answers of a class that `share_within_target` counts."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class FirstTokenSummary:
-    """What the answers of a class saw; None before the first one."""
+    """Times to first token of a class; None before the first answer."""
 
     count: int = 0
     p95_s: float | None = None
     share_within_target: float | None = None
 
 
-class FirstTokens:
+class FirstTokenTimes:
     """Histograms of the time to the first token."""
 
     def __init__(self) -> None:
@@ -32,13 +32,13 @@
         self._recent_by_class: dict[ClassName, deque[bool]] = {}
 
     def note(self, work_class: WorkClass, seconds: float) -> None:
-        """Count the time from the arrival to the first token."""
+        """Record the time from a request's arrival to its first token."""
         name = work_class.name
         if name not in self._histograms_by_class:
             self._histograms_by_class[name] = HdrHistogram(
                 LOWEST_MS, HIGHEST_MS, SIGNIFICANT_FIGURES
             )
-            self._recent_by_class[name] = deque(maxlen=RECENT)
+            self._recent_by_class[name] = deque(maxlen=RECENT_ANSWERS)
         milliseconds = max(LOWEST_MS, round(seconds * 1000))
         self._histograms_by_class[name].record_value(
             min(milliseconds, HIGHEST_MS)
@@ -46,7 +46,7 @@
         self._recent_by_class[name].append(seconds <= work_class.first_token_s)
 
     def summary(self, name: ClassName) -> FirstTokenSummary:
-        """Return what was seen of a class."""
+        """Return the summary of a class."""
         histogram = self._histograms_by_class.get(name)
         if histogram is None:
             return FirstTokenSummary()
--- a/packages/mimosamux-daemon/mimosamux_daemon/serving/handover.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/serving/handover.py
@@ -40,7 +40,10 @@
 from mimosamux_daemon.logs import get_log
 from mimosamux_daemon.ports.models.request_journal import RequestJournal
 from mimosamux_daemon.ports.peer import Peers, PeerUnavailable
-from mimosamux_daemon.serving.model_serving import HandedOver, ModelServing
+from mimosamux_daemon.serving.model_serving import (
+    HandedOverRequest,
+    ModelServing,
+)
 from mimosamux_daemon.serving.requests import ActiveRequest, Moved
 
 log = get_log('handover')
@@ -208,7 +211,7 @@
         request = to_request(message, configuration)
         if request is None:
             return HandOverReply(reason='class or parameters not known here')
-        handed_over = HandedOver(
+        handed_over = HandedOverRequest(
             request=request,
             tokens=tuple(message.tokens),
             attempt=message.attempt,
--- a/packages/mimosamux-daemon/mimosamux_daemon/serving/model_serving.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/serving/model_serving.py
@@ -1,4 +1,4 @@
-"""Accepts model requests and has each driven to its one outcome."""
+"""Accepts model requests, runs them and hands them over to peers."""
 
 from dataclasses import dataclass, field
 
@@ -21,7 +21,7 @@
     RequestDriver,
 )
 from mimosamux_daemon.serving.evacuation import Evacuation
-from mimosamux_daemon.serving.first_tokens import FirstTokens
+from mimosamux_daemon.serving.first_tokens import FirstTokenTimes
 from mimosamux_daemon.serving.fleet import Fleet
 from mimosamux_daemon.serving.requests import (
     ActiveRequest,
@@ -37,23 +37,24 @@
 
 log = get_log('serving')
 
-FULL_RETRY_S = 2.0
-"""When to come again while answers hold all the memory there is."""
+MEMORY_FULL_RETRY_S = 2.0
+"""Retry-After of refusals while open requests use all memory."""
 JOURNAL_RETRY_S = 5.0
+"""Retry-After while the journal does not respond."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class HandedOver:
-    """A request that another daemon had accepted, and its answer so far."""
+class HandedOverRequest:
+    """A request that another daemon accepted, and its answer so far."""
 
     request: ModelRequest
     tokens: tuple[str, ...] = field(default=())
     attempt: int = 0
-    """The last attempt there; the next one here is higher."""
+    """Number of the last attempt there; attempts here count on from it."""
 
 
 class ModelServing:
-    """The serving of model requests at one daemon."""
+    """Accepts and runs the model requests of one daemon."""
 
     def __init__(
         self,
@@ -70,7 +71,7 @@
         meter: DemandMeter | None = None,
     ) -> None:
         self.registry = registry
-        self.first_tokens = FirstTokens()
+        self.first_tokens = FirstTokenTimes()
         self._router = router
         self._admission = admission
         self._tasks = tasks
@@ -95,12 +96,13 @@
     async def offer(
         self, request: ModelRequest, configuration: Configuration
     ) -> ActiveRequest | Refused | InDoubt:
-        """Accept the request, or refuse it before any of it has run.
+        """Accept a request, or refuse it before any of it has run.
 
-        A request under a key that is known joins the one that has it.
-        `InDoubt` is neither: the journal may hold the request.
+        For a known idempotency key, return the existing request.
+        `InDoubt` means that the journal may or may not have recorded the
+        request, so it is neither accepted nor safely refused.
         """
-        known = self._find_known(request)
+        known = self._find_duplicate(request)
         if known is not None:
             return known
         self._meter.note_offered(request)
@@ -115,10 +117,10 @@
             return admitted
         active = ActiveRequest(request=request)
         self.registry.add(active)
-        # A caller who hangs up here must not leave a request that is
-        # neither served nor given back: its account would stay charged.
+        # If the caller disconnects here, the request must still be run or
+        # released: otherwise it would count as open for its account forever.
         with anyio.CancelScope(shield=True):
-            refused = await self._record(active)
+            refused = await self._record_in_journal(active)
         if refused is not None:
             self._admission.release(request.id)
             active.end(refused)
@@ -129,15 +131,15 @@
         return active
 
     async def take_over(
-        self, handed: HandedOver, configuration: Configuration
+        self, handed_over: HandedOverRequest, configuration: Configuration
     ) -> ActiveRequest | Refused:
-        """Go on with a request that a peer had accepted.
+        """Continue a request that a peer accepted.
 
-        It was accepted once, so no limit refuses it here. The same
-        hand-over again changes nothing; one with a higher attempt
-        replaces the copy, because the peer has served it further.
+        Admission control does not refuse it, as it has been accepted. A
+        repeated hand-over has no effect; one with a higher attempt
+        replaces the copy here, because the peer has run it further.
         """
-        request = handed.request
+        request = handed_over.request
         if request.account not in configuration.accounts:
             return Refused(
                 reason=Reason.NOT_AUTHORISED,
@@ -145,13 +147,13 @@
             )
         known = self.registry.by_id.get(request.id)
         if known is not None:
-            if known.moved is None and known.attempt >= handed.attempt:
+            if known.moved is None and known.attempt >= handed_over.attempt:
                 return known
-            await self._replace(known)
+            await self._discard_copy(known)
         active = ActiveRequest(
             request=request,
-            tokens=list(handed.tokens),
-            attempt=handed.attempt,
+            tokens=list(handed_over.tokens),
+            attempt=handed_over.attempt,
         )
         self.registry.add(active)
         account = configuration.accounts[request.account]
@@ -161,13 +163,13 @@
             'request_taken_over',
             request=request.id,
             account=request.account,
-            attempt=handed.attempt,
-            tokens=len(handed.tokens),
+            attempt=handed_over.attempt,
+            tokens=len(handed_over.tokens),
         )
         return active
 
     async def park(self, active: ActiveRequest) -> bool:
-        """Stop adding to an answer, so that it can be handed over."""
+        """Stop a request so that it can be handed over; False if it ended."""
         driver = self._drivers.get(active.request.id)
         if driver is None or active.has_ended:
             return False
@@ -179,10 +181,11 @@
     async def move(
         self, active: ActiveRequest, moved: Moved, *, is_recorded: bool
     ) -> None:
-        """Send the callers of a parked request to the daemon that has it.
+        """Redirect the callers of a parked request to its new daemon.
 
-        `is_recorded` says that the journal there has the request; without
-        that, the entry here keeps it safe from that daemon's death.
+        `is_recorded` says that the new daemon's journal has the request.
+        If not, the entry in this daemon's journal is kept, so that the
+        request survives a crash of the new daemon.
         """
         active.move(moved)
         self.registry.note_ended(active)
@@ -191,21 +194,21 @@
             await self._journal.forget(active.request.id)
 
     async def drop(self, active: ActiveRequest) -> None:
-        """Stop a request that goes on at another daemon, and forget it."""
+        """Stop and forget a request that continues at another daemon."""
         if await self.park(active):
             self.registry.forget(active)
 
     def resume(self, active: ActiveRequest) -> None:
-        """Go on with a parked request here."""
+        """Continue a parked request at this daemon."""
         if not active.has_ended:
             self._start(active, None, is_admitted=False)
 
-    def _find_known(
+    def _find_duplicate(
         self, request: ModelRequest
     ) -> ActiveRequest | Refused | None:
         if request.idempotency_key is None:
             return None
-        known = self.registry.find_key(
+        known = self.registry.find_by_key(
             request.account, request.idempotency_key
         )
         if known is None:
@@ -219,8 +222,8 @@
             return known
         if not request.work_class.repeatable:
             return known
-        # It ended without an answer and may be repeated: the caller who
-        # comes back under its key wants it to run again.
+        # It ended without an answer and is repeatable: a caller that sends
+        # its key again wants it to run again.
         return None
 
     def _admit(
@@ -230,7 +233,7 @@
             return Refused(
                 reason=Reason.OVERLOADED,
                 message='the answers in progress hold all memory there is',
-                retry_after_s=FULL_RETRY_S,
+                retry_after_s=MEMORY_FULL_RETRY_S,
             )
         suspects = self._parts.suspects.current()
         choice = self._router.choose(request, excluding=suspects)
@@ -249,12 +252,15 @@
         )
         return choice if refused is None else refused
 
-    async def _record(self, active: ActiveRequest) -> Refused | InDoubt | None:
-        """Record a request of a durable class before its acceptance.
+    async def _record_in_journal(
+        self, active: ActiveRequest
+    ) -> Refused | InDoubt | None:
+        """Record a request of a durable class in the journal.
 
-        A record that may have landed is taken back in the background. If
-        this daemon died before that, another one would find the record
-        and run the request: "not run" could turn out false.
+        A write that may have succeeded is undone in the background. If
+        this daemon crashes before that, another one finds the record and
+        runs the request. The result is then `InDoubt`, because a refusal
+        would wrongly promise that the request does not run.
         """
         request = active.request
         if self._journal is None or not request.work_class.durable:
@@ -274,7 +280,7 @@
             retry_after_s=JOURNAL_RETRY_S,
         )
 
-    async def _replace(self, known: ActiveRequest) -> None:
+    async def _discard_copy(self, known: ActiveRequest) -> None:
         await self.park(known)
         self.registry.forget(known)
 
@@ -306,7 +312,7 @@
                 del self._drivers[active.request.id]
             self._metrics.open_requests.set({}, len(self._drivers))
         if not driver.is_parked:
-            await self._note_ended(active)
+            await self._finish(active)
 
     def _note_first_token(self, active: ActiveRequest) -> None:
         if active.first_token_at is None:
@@ -318,7 +324,7 @@
             {'work_class': work_class.name}, seconds
         )
 
-    async def _note_ended(self, active: ActiveRequest) -> None:
+    async def _finish(self, active: ActiveRequest) -> None:
         request = active.request
         self.registry.note_ended(active)
         self._note_first_token(active)
--- a/packages/mimosamux-daemon/mimosamux_daemon/serving/watch.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/serving/watch.py
@@ -124,7 +124,7 @@
 
 def is_stalled(attempt: Attempt, now: float) -> bool:
     """Whether the engine has sent no event for longer than its timeout."""
-    if attempt.moving is not None or not is_movable(attempt):
+    if attempt.transfer_done is not None or not is_movable(attempt):
         return False
     work_class = attempt.active.request.work_class
     if attempt.progress.tokens:
@@ -139,4 +139,4 @@
             FIRST_TOKEN_TIMEOUT_FACTOR * attempt.estimate_s,
         )
     silence_s = now - attempt.progress.last_event_at
-    return silence_s > timeout_s * attempt.patience
+    return silence_s > timeout_s * attempt.timeout_factor
--- a/packages/mimosamux-daemon/mimosamux_daemon/serving_parts.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/serving_parts.py
@@ -29,7 +29,10 @@
 from mimosamux_daemon.serving.fleet import Fleet
 from mimosamux_daemon.serving.handover import Handover
 from mimosamux_daemon.serving.journal import Journal
-from mimosamux_daemon.serving.model_serving import HandedOver, ModelServing
+from mimosamux_daemon.serving.model_serving import (
+    HandedOverRequest,
+    ModelServing,
+)
 from mimosamux_daemon.serving.prices import Distances, PriceBook
 from mimosamux_daemon.serving.repeatable_calls import RepeatableCalls
 from mimosamux_daemon.serving.requests import RequestRegistry
@@ -231,7 +234,7 @@
 ) -> Callable[[ModelRequest], Awaitable[None]]:
     async def go_on(request: ModelRequest) -> None:
         taken = await models.take_over(
-            HandedOver(request=request), control.in_force.current
+            HandedOverRequest(request=request), control.in_force.current
         )
         if isinstance(taken, Refused):
             log.warning(
--- a/packages/mimosamux-daemon/mimosamux_daemon/status_parts.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/status_parts.py
@@ -7,7 +7,7 @@
 from mimosamux_daemon.domain.configuration import Configuration
 from mimosamux_daemon.domain.names import ClassName
 from mimosamux_daemon.planning_parts import PlanningParts
-from mimosamux_daemon.serving.first_tokens import FirstTokens
+from mimosamux_daemon.serving.first_tokens import FirstTokenTimes
 from mimosamux_daemon.serving_parts import ServingParts
 
 
@@ -17,7 +17,7 @@
 
     serving: ServingParts
     planning: PlanningParts
-    first_tokens: FirstTokens
+    first_tokens: FirstTokenTimes
     configuration: Callable[[], Configuration]
 
     def endpoints(self) -> Sequence[Mapping[str, Any]]:
--- a/tests/test_caller_api.py
+++ b/tests/test_caller_api.py
@@ -126,7 +126,7 @@
                 key = ('school', 'k')
                 self.assertIn(key, site.registry.by_key)
                 await anyio.sleep(601)
-                self.assertIsNone(site.registry.find_key(*key))
+                self.assertIsNone(site.registry.find_by_key(*key))
                 self.assertEqual(site.registry.by_id, {})
 
         run_paused(check)
@@ -144,7 +144,7 @@
                         f'{cancels}', max_tokens=900, work_class=work_class
                     )
                     active.add_reader()
-                    await active.wait_beyond(20)
+                    await active.wait_for_tokens(20)
                     active.remove_reader()
                     await active.wait_ended()
                     self.assertEqual(is_whole(active), not cancels)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -76,7 +76,7 @@
         async def check():
             async with open_pair() as (_, a, b, (giver, _)):
                 active = await a.offer('plan a trip', max_tokens=200)
-                await active.wait_beyond(50)
+                await active.wait_for_tokens(50)
                 await giver.hand_over(3.0)
                 self.assertEqual(active.moved.address, '10.0.0.2:8080')
                 there = b.registry.by_id[active.request.id]
@@ -99,7 +99,7 @@
                         events.append(event)
 
                 a.tasks.start_soon(read)
-                await active.wait_beyond(50)
+                await active.wait_for_tokens(50)
                 await giver.hand_over(3.0)
                 await anyio.sleep(0.1)
                 last = events[-1].decode()
@@ -113,7 +113,7 @@
         async def check():
             async with open_pair(None) as (_, a, _, (giver, _)):
                 active = await a.offer('plan a trip', max_tokens=200)
-                await active.wait_beyond(50)
+                await active.wait_for_tokens(50)
                 await giver.hand_over(3.0)
                 await active.wait_ended()
                 self.assertTrue(is_whole(active))
@@ -127,7 +127,7 @@
             async with open_pair() as (_, a, _, (giver, other)):
                 other._in_force.current = Configuration()
                 active = await a.offer('plan a trip', max_tokens=200)
-                await active.wait_beyond(50)
+                await active.wait_for_tokens(50)
                 await giver.hand_over(3.0)
                 await active.wait_ended()
                 self.assertTrue(is_whole(active))
@@ -158,7 +158,7 @@
         async def check():
             async with open_pair() as (network, a, b, (giver, _)):
                 active = await a.offer('plan a trip', max_tokens=200)
-                await active.wait_beyond(50)
+                await active.wait_for_tokens(50)
                 network.faults.lose_next_answers = 1
                 await giver.hand_over(3.0)
                 self.assertIsNotNone(active.moved)
@@ -173,7 +173,7 @@
         async def check():
             async with open_pair() as (network, a, b, (giver, _)):
                 active = await a.offer('plan a trip', max_tokens=400)
-                await active.wait_beyond(50)
+                await active.wait_for_tokens(50)
                 network.faults.lose_next_answers = 2
                 await giver.hand_over(3.0)
                 self.assertIsNone(active.moved)
--- a/tests/test_http_engine.py
+++ b/tests/test_http_engine.py
@@ -242,12 +242,12 @@
                 for engine in engines:
                     site.fleet.add(engine.endpoint)
                 active = await site.offer('a trip ' * 500, max_tokens=60_000)
-                await active.wait_beyond(20)
+                await active.wait_for_tokens(20)
                 (leaving,) = [each for each in engines if each.open_runs]
                 site.fleet.mark_leaving(leaving.endpoint.id, seconds_left=30)
                 while active.attempt == 1:
-                    await active.wait_beyond(len(active.tokens))
-                await active.wait_beyond(len(active.tokens) + 20)
+                    await active.wait_for_tokens(len(active.tokens))
+                await active.wait_for_tokens(len(active.tokens) + 20)
                 prompt = active.request.prompt
                 self.assertEqual(
                     active.tokens,
@@ -270,7 +270,7 @@
                 for engine in engines:
                     site.fleet.add(engine.endpoint)
                 active = await site.offer('a trip', max_tokens=300)
-                await active.wait_beyond(20)
+                await active.wait_for_tokens(20)
                 (dying,) = [each for each in engines if each.open_runs]
                 dying.die()
                 await active.wait_ended()
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -25,7 +25,7 @@
 async def start(site, prompt=LONG, **fields):
     """Offer a request and return it once its answer has begun."""
     active = await site.offer(prompt, **fields)
-    await active.wait_beyond(5)
+    await active.wait_for_tokens(5)
     return active
 
 
@@ -198,7 +198,7 @@
                 active = await start(site, max_tokens=200)
                 run_of(site, active).freeze()
                 frozen_at = anyio.current_time()
-                await active.wait_beyond(150)
+                await active.wait_for_tokens(150)
                 self.assertTrue(anyio.current_time() - frozen_at < 15)
                 await active.wait_ended()
                 self.assertTrue(is_whole(active))
