--- a/packages/mimosamux-daemon/mimosamux_daemon/serving/relay.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/serving/relay.py
@@ -21,10 +21,14 @@
     """Why a frame was dropped."""
 
     FOREIGN = 'foreign'
+    """It belongs to another request."""
     OLD_ATTEMPT = 'old_attempt'
     REPEATED = 'repeated'
+    """All its tokens were received before."""
     GAP = 'gap'
+    """Tokens before it are missing."""
     WRONG_TOTAL = 'wrong_total'
+    """The end marker's total differs from the number of tokens received."""
 
 
 class BreakCause(StrEnum):
@@ -34,8 +38,11 @@
     REFUSED = 'refused'
     STREAM = 'stream'
     FRAMES = 'frames'
+    """A frame was missing or the end marker's total was wrong."""
     SILENT = 'silent'
+    """The engine sent no event within its timeout."""
     RECLAIM = 'reclaim'
+    """The endpoint left while the attempt ran there."""
     LEAVING = 'leaving'
     """The endpoint was leaving before the call was sent."""
 
--- a/packages/mimosamux-daemon/mimosamux_daemon/serving/side_effect_limits.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/serving/side_effect_limits.py
@@ -23,7 +23,8 @@
     max_poll_s: float = 1.0
     """Upper bound of that pause."""
     overdue_grace_s: float = 30.0
-    """Time past the call's deadline after which an open call is settled
-    as unknown even if its holder seems to be alive."""
+    """Added to a call's remaining time, which counts from the first sighting
+    of its row. An open call older than that is settled as unknown even if
+    its holder seems to be alive."""
     retry_after_s: float = 2.0
     """Retry-After of refusals and of calls in doubt."""
--- a/packages/mimosamux-daemon/mimosamux_daemon/serving/side_effect_outcomes.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/serving/side_effect_outcomes.py
@@ -17,7 +17,7 @@
 )
 
 IN_DOUBT_RETRY_AFTER_S = 2.0
-"""Retry-After of an in-doubt answer to a refusal without one."""
+"""Retry-After of in-doubt answers that replace a refusal without one."""
 
 
 def check_key(call: ServiceCall) -> Refused | None:
