--- a/packages/mimosamux-daemon/mimosamux_daemon/serving/commit_budget.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/serving/commit_budget.py
@@ -18,7 +18,10 @@
 
 
 class CommitBudget:
-    """A token bucket, refilled at this daemon's share of the rate."""
+    """A token bucket, refilled at this daemon's share of the rate.
+
+    `daemons` returns the current number of daemons.
+    """
 
     def __init__(self, *, daemons: Callable[[], int]) -> None:
         self._daemons = daemons
--- a/packages/mimosamux-daemon/mimosamux_daemon/serving/drivers.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/serving/drivers.py
@@ -78,6 +78,7 @@
     has_prefilled: bool = False
     """Whether an engine has computed the prompt before."""
     silence_timeouts: int = 0
+    """Attempts that timed out; each doubles the next time-out."""
     hard_refusals: int = 0
     backoff_s: float = MIN_BACKOFF_S
 
--- a/packages/mimosamux-daemon/mimosamux_daemon/serving/estimates.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/serving/estimates.py
@@ -42,11 +42,12 @@
 
 @dataclass(slots=True)
 class Candidate:
-    """An endpoint and its estimates; not frozen, as decisions make many."""
+    """An endpoint and its estimates; each decision creates many."""
 
     state: EndpointState
     first_token_s: float
     cost: float
+    """Weighted sum of wait, engine time at its price and recomputation."""
     wait_s: float
     cached_tokens: float
     is_near: bool
--- a/packages/mimosamux-daemon/mimosamux_daemon/serving/fair_shares.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/serving/fair_shares.py
@@ -39,7 +39,7 @@
     """Tokens of an account at one daemon since its last digest."""
 
     key: int
-    """Hash of the account id, see `key_of_account`."""
+    """Hash of the account id, see `hash_account_id`."""
     share: float
     offered: float
     admitted: float
--- a/packages/mimosamux-daemon/mimosamux_daemon/serving/first_tokens.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/serving/first_tokens.py
@@ -10,6 +10,7 @@
 
 LOWEST_MS = 1
 HIGHEST_MS = 3_600_000
+"""Range of the histograms; longer times are recorded as the highest."""
 SIGNIFICANT_FIGURES = 2
 RECENT_ANSWERS = 200
 """Newest answers of a class that `share_within_target` counts."""
--- a/packages/mimosamux-daemon/mimosamux_daemon/serving/fleet.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/serving/fleet.py
@@ -191,8 +191,12 @@
         slot_use = state.slot_use_by_request.pop(request)
         # An attempt that did not connect held no slot. Counted as a short
         # service time, it would bias the estimated slot waits downwards.
-        was_sent = state.failed_connects == 0
-        if slot_use.kind is not None and was_sent and now > slot_use.starts_at:
+        has_connected = state.failed_connects == 0
+        if (
+            slot_use.kind is not None
+            and has_connected
+            and now > slot_use.starts_at
+        ):
             self.service_times.add_sample(
                 slot_use.kind, now - slot_use.starts_at
             )
@@ -212,8 +216,10 @@
             return
         state.failed_connects += 1
         doublings = min(max(state.failed_connects - SUSPECT_AFTER, 0), 10)
-        pause = min(MIN_PROBE_INTERVAL_S * 2**doublings, MAX_PROBE_INTERVAL_S)
-        state.next_probe_at = anyio.current_time() + pause
+        delay_s = min(
+            MIN_PROBE_INTERVAL_S * 2**doublings, MAX_PROBE_INTERVAL_S
+        )
+        state.next_probe_at = anyio.current_time() + delay_s
 
     def apply_report(self, report: LoadReport) -> bool:
         """Apply a load report; return False if a newer one is known."""
--- a/packages/mimosamux-daemon/mimosamux_daemon/serving/load.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/serving/load.py
@@ -40,7 +40,7 @@
 
 @dataclass(slots=True)
 class LoadEstimate:
-    """Estimated load; not frozen, as each routing decision makes many."""
+    """Estimated load of an endpoint; created for each candidate."""
 
     backlog_s: float
     """Time to prefill the queued prompts."""
@@ -64,19 +64,21 @@
         default_factory=lambda: deque(maxlen=MAX_SENT_WORK)
     )
     _backlog: float = 0.0
+    """Prompt tokens to prefill at `_backlog_at`."""
     _backlog_at: float = -math.inf
     _occupied: int = 0
     _peers_at: float = -math.inf
     _peer_tokens: float = 0.0
+    """Tokens that peers sent, decayed to `_peers_at`."""
     _peer_requests: float = 0.0
 
     def apply_report(self, report: LoadReport, *, now: float) -> bool:
         """Apply a report; return False if it is older than the last one."""
-        as_of = now - report.age_s
-        if as_of <= self.reported_at:
+        measured_at = now - report.age_s
+        if measured_at <= self.reported_at:
             return False
         self.report = report
-        self.reported_at = as_of
+        self.reported_at = measured_at
         self.prefill_tokens_per_s = max(report.prefill_tokens_per_s, 1.0)
         self.decode_interval_s = report.decode_interval_s
         self.slots = max(report.slots, 1)
@@ -152,24 +154,26 @@
         return min(max(since, 0.0), MAX_UNREPORTED_S) * self._decay(now)
 
     def _decay(self, now: float) -> float:
+        """Return the decay of the peers' sends since `_peers_at`."""
         if self._peers_at == -math.inf:
             return 1.0
         elapsed_s = max(now - self._peers_at, 0.0)
         return math.exp(-elapsed_s / PEER_RATE_WINDOW_S)
 
     def _replay(self) -> None:
-        kept = [
+        """Recompute the backlog from the report and the work after it."""
+        newer = [
             sent
             for sent in self._sent_since_report
             if sent.at > self.reported_at
         ]
-        kept.sort(key=_time_of)
+        newer.sort(key=_time_of)
         self._sent_since_report.clear()
         report = self.report
         self._backlog = float(report.queued_prefill_tokens if report else 0)
         self._occupied = report.running + report.waiting if report else 0
         self._backlog_at = self.reported_at
-        for sent in kept:
+        for sent in newer:
             self._sent_since_report.append(sent)
             self._apply(sent)
 
--- a/packages/mimosamux-daemon/mimosamux_daemon/serving/prefix_cache.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/serving/prefix_cache.py
@@ -38,8 +38,8 @@
     """Return the chained hashes of the complete blocks of a prompt."""
     hashed = []
     seed = 0
-    complete = min(len(prompt) // BLOCK_BYTES, MAX_PROMPT_BLOCKS)
-    for start in range(0, complete * BLOCK_BYTES, BLOCK_BYTES):
+    block_count = min(len(prompt) // BLOCK_BYTES, MAX_PROMPT_BLOCKS)
+    for start in range(0, block_count * BLOCK_BYTES, BLOCK_BYTES):
         block = prompt[start : start + BLOCK_BYTES]
         seed = xxhash.xxh64_intdigest(block, seed)
         hashed.append(seed)
@@ -51,7 +51,9 @@
     """A prefix of a prompt, and the endpoints that likely hold it."""
 
     blocks: int
+    """Number of blocks of the prefix."""
     key: int
+    """Key of its last block."""
     holders: tuple[EndpointId, ...]
 
 
@@ -177,9 +179,9 @@
         if cache is None:
             return 0.0
         keys = cache.keys
-        for match_ in matches:
-            if match_.key in keys:
-                tokens = match_.blocks * BLOCK_TOKENS
+        for prefix_match in matches:
+            if prefix_match.key in keys:
+                tokens = prefix_match.blocks * BLOCK_TOKENS
                 return tokens * GAP_DISCOUNT if cache.has_gap else tokens
         return 0.0
 
@@ -213,11 +215,11 @@
 ) -> list[EndpointId]:
     """Return up to `limit` endpoints with the longest matches."""
     picked: list[EndpointId] = []
-    for match_ in matches:
+    for prefix_match in matches:
         room = limit - len(picked)
         if room <= 0:
             break
-        holders = match_.holders
+        holders = prefix_match.holders
         picked.extend(
             holders if len(holders) <= room else rng.sample(holders, room)
         )
--- a/packages/mimosamux-daemon/mimosamux_daemon/serving/prices.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/serving/prices.py
@@ -32,6 +32,7 @@
 
     by_pool: dict[CapacityPool, float] = field(default_factory=dict)
     cheapest: float = DEFAULT_PRICE_PER_HOUR
+    """Lowest known positive price."""
 
     def update(self, prices: Iterable[Price]) -> None:
         """Apply new prices; other pools keep their last known price."""
--- a/packages/mimosamux-daemon/mimosamux_daemon/serving/requests.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/serving/requests.py
@@ -141,6 +141,7 @@
     )
     open_by_id: dict[RequestId, ActiveRequest] = field(default_factory=dict)
     _finished: OrderedDict[RequestId, int] = field(default_factory=OrderedDict)
+    """Bytes held by each finished request, oldest first."""
     _finished_bytes: int = 0
 
     def add(self, active: ActiveRequest) -> None:
--- a/packages/mimosamux-daemon/mimosamux_daemon/serving/retries.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/serving/retries.py
@@ -26,6 +26,7 @@
 @dataclass(kw_only=True, slots=True)
 class _Bucket:
     share: float
+    """Retries that each request adds."""
     refilled_at: float
     tokens: float = MIN_CAPACITY
     recent_requests: float = 0.0
--- a/packages/mimosamux-daemon/mimosamux_daemon/serving/routing.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/serving/routing.py
@@ -45,9 +45,9 @@
     """
 
     sample_size: int = 4
-    """Endpoints compared, and as many of those this daemon owns."""
+    """Endpoints sampled, and up to as many of this daemon's own."""
     wide_sample_size: int = 48
-    """The same in the second round, before a request is refused."""
+    """The same for a second try, before a request is refused."""
     max_holders: int = 4
     """Endpoints with the longest cached prefixes that are compared."""
     max_pools: int = 6
@@ -83,7 +83,7 @@
     endpoint: Endpoint
     first_token_s: float
     unavoidable_s: float = 0.0
-    """Part of `first_token_s` that exceeds the limit on an idle endpoint."""
+    """Lateness even on an idle endpoint, see `prompt_fraction`."""
     cached_tokens: int = 0
     is_own: bool = True
     """Whether this daemon owns the endpoint."""
@@ -286,9 +286,9 @@
         chosen = list(pools)
         if len(chosen) > self._policy.max_pools:
             chosen = sorted(chosen, key=self._rank)[: self._policy.max_pools]
-        share = max(sample_size // len(chosen), 1)
+        pool_sample = max(sample_size // len(chosen), 1)
         for pool in chosen:
-            yield from self._sample(pools[pool], share)
+            yield from self._sample(pools[pool], pool_sample)
 
     def _rank(self, pool: CapacityPool) -> tuple[float, float]:
         one_way_s = self._distances.one_way_s(pool.data_centre)
