--- a/packages/mimosamux-daemon/mimosamux_daemon/domain/routes.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/domain/routes.py
@@ -23,7 +23,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Split:
+class TrafficSplit:
     """Weight of one service in the traffic split of a route."""
 
     service: ServiceName
@@ -39,16 +39,16 @@
     prefix: bytes
     """Path prefix; begins and ends with a slash."""
     kind: RouteKind
-    splits: tuple[Split, ...]
+    splits: tuple[TrafficSplit, ...]
     timeout_s: float
     """Maximum time until the answer."""
-    target_s: float
+    latency_target_s: float
     """Latency target of the complete answer or a stream's first event."""
     gap_target_s: float | None = None
     """Latency target of the gap between two events of a stream."""
     priority: int = 0
     """Rank; 0 is the most urgent."""
-    max_endpoints: int = 1
+    max_attempts: int = 1
     """Maximum number of endpoints tried for one request."""
     is_anonymous: bool = False
     is_resumable: bool = False
@@ -65,7 +65,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class EngineTraits:
+class EngineCapabilities:
     """Capabilities of the model engines of a service."""
 
     slots: int
@@ -81,7 +81,7 @@
     can_back_up: bool = False
     """Whether engines can copy the KV cache of a run to another engine."""
     tokens_per_event: int = 1
-    cache_watchers: int = 0
+    max_cache_watchers: int = 0
     """Maximum number of clients that may wait for an engine's cache events."""
     handle_ttl_s: float = 5.0
     """Time after which an engine may drop an unused copy of a KV cache."""
@@ -91,9 +91,9 @@
 class ScalingBounds:
     """Bounds and prices for the autoscaling of a service."""
 
-    least: int
+    min_endpoints: int
     """Minimum endpoints in each data centre, of both markets together."""
-    most: int
+    max_endpoints: int
     """Maximum endpoints in each data centre."""
     boot_s: float
     reclaimable_price: float | None
@@ -113,7 +113,7 @@
     health_path: str = '/'
     max_connections: int = 0
     """Maximum connections to one endpoint from all daemons together."""
-    engine: EngineTraits | None = None
+    engine: EngineCapabilities | None = None
     """None: a plain service without model engines."""
     scaling: ScalingBounds | None = None
 
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/attempts.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/attempts.py
@@ -272,7 +272,7 @@
         """
         now = self.clock()
         limit_s = max(
-            SILENCE_TARGET_SHARE * job.route.target_s,
+            SILENCE_TARGET_SHARE * job.route.latency_target_s,
             SILENCE_ESTIMATE_FACTOR * choice.first_event_s,
         )
         self._log_sent(job, choice)
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/choice.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/choice.py
@@ -186,7 +186,7 @@
             key=lambda choice: _rendezvous_hash(choice.record.id, prefix_key)
         )
         min_estimate_s = min(choice.first_event_s for choice in choices)
-        limit = max(HOME_TARGET_SHARE * route.target_s, min_estimate_s)
+        limit = max(HOME_TARGET_SHARE * route.latency_target_s, min_estimate_s)
         return next(
             choice for choice in choices if choice.first_event_s <= limit
         )
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/forwarding.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/forwarding.py
@@ -363,7 +363,7 @@
             job.may_have_run or not is_proven_not_run
         ):
             return False
-        if job.sends >= job.route.max_endpoints:
+        if job.sends >= job.route.max_attempts:
             return False
         if not self.quarantine.may_retry(
             job.content, was_not_run=is_proven_not_run
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/load_shedding.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/load_shedding.py
@@ -44,7 +44,7 @@
         prompt = job.request.prompt
         if prompt is None or job.service.engine is None or job.sends:
             return None
-        limit_s = job.route.target_s * self._target_share(job)
+        limit_s = job.route.latency_target_s * self._target_share(job)
         late_s = choice.first_event_s - limit_s - choice.own_prefill_excess_s
         if late_s <= 0:
             self._count(job, is_admitted=True)
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/running_stream.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/running_stream.py
@@ -4,7 +4,7 @@
 
 import anyio
 
-from mimosamux_daemon.domain.routes import EngineTraits, ServiceEntry
+from mimosamux_daemon.domain.routes import EngineCapabilities, ServiceEntry
 from mimosamux_daemon.gateway.endpoint_record import EndpointRecord
 
 BITS_PER_BYTE = 8
@@ -42,7 +42,7 @@
     """Serialises the calls that copy or stop its run."""
 
     @property
-    def engine(self) -> EngineTraits | None:
+    def engine(self) -> EngineCapabilities | None:
         """Return the engine traits of its service; a plain one has none."""
         return self.service.engine
 
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/scaling.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/scaling.py
@@ -274,7 +274,7 @@
         self._next_probe_at = now + PROBE_INTERVAL_S
         self._retry_at[location] = now + CAPACITY_RETRY_S
         pool = Pool(data_centre=location[1], market=Market.RECLAIMABLE)
-        count = min(serving.get(pool, 0) + 1, bounds.most)
+        count = min(serving.get(pool, 0) + 1, bounds.max_endpoints)
         await self._place_order(service, pool, count, lease)
         if location not in self._retry_at:
             self._next_probe_at = now
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/scaling_plan.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/scaling_plan.py
@@ -82,8 +82,11 @@
     }
     planned = distribute(
         wanted - sum(kept.values()),
-        {centre: bounds.most - on_demand[centre] for centre in available},
-        minimum=bounds.least,
+        {
+            centre: bounds.max_endpoints - on_demand[centre]
+            for centre in available
+        },
+        minimum=bounds.min_endpoints,
     )
     reclaimable = kept | planned
     at_risk = _largest_reclaimable(serving) if unavailable else 0
@@ -98,7 +101,7 @@
         missing_now = min(missing_now, 1)
     counts |= _plan_on_demand(
         room={
-            centre: bounds.most - reclaimable.get(centre, 0)
+            centre: bounds.max_endpoints - reclaimable.get(centre, 0)
             for centre in centres
         },
         missing=needed - sum(reclaimable.values()),
@@ -175,8 +178,8 @@
     """Return a total count, rounded up and limited to the bounds."""
     centres = len(bounds.price_by_data_centre)
     return min(
-        max(math.ceil(endpoints), bounds.least * centres),
-        bounds.most * centres,
+        max(math.ceil(endpoints), bounds.min_endpoints * centres),
+        bounds.max_endpoints * centres,
     )
 
 
--- a/tests/test_gateway_scaling_plan.py
+++ b/tests/test_gateway_scaling_plan.py
@@ -36,8 +36,8 @@
 ):
     """Return the orders; north is the cheapest, south the dearest."""
     bounds = ScalingBounds(
-        least=1,
-        most=4,
+        min_endpoints=1,
+        max_endpoints=4,
         boot_s=4.0,
         reclaimable_price=0.2,
         price_by_data_centre={NORTH: 0.8, MIDDLE: 1.0, SOUTH: 1.2},
