--- a/packages/mimosamux-daemon/mimosamux_daemon/control/capacity.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/control/capacity.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 
 from mimosamux_daemon.domain.names import ClassName
-from mimosamux_daemon.domain.plan import ClassDemand, Need, ServiceRate
+from mimosamux_daemon.domain.plan import ClassDemand, ReplicaNeed, ServiceRate
 from mimosamux_daemon.domain.work import WorkClass
 
 MAX_REPLICAS = 100_000
@@ -56,7 +56,7 @@
     classes: Mapping[ClassName, WorkClass],
     rate: ServiceRate,
     policy: CapacityPolicy,
-) -> Need:
+) -> ReplicaNeed:
     """Return the replicas needed normally and after a loss of VMs."""
     flows = [
         _as_flow(demand, classes[demand.work_class], rate, policy)
@@ -64,8 +64,8 @@
         if demand.work_class in classes and demand.requests_per_s > 0
     ]
     if not flows:
-        return Need(normal=1.0, after_loss=1.0)
-    return Need(
+        return ReplicaNeed(normal=1.0, after_loss=1.0)
+    return ReplicaNeed(
         normal=_find_min_replicas(flows, rate, policy, is_after_loss=False),
         after_loss=_find_min_replicas(flows, rate, policy, is_after_loss=True),
     )
--- a/packages/mimosamux-daemon/mimosamux_daemon/control/placement.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/control/placement.py
@@ -9,7 +9,7 @@
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass
 
-from mimosamux_daemon.domain.plan import Need, Offer
+from mimosamux_daemon.domain.plan import Offer, ReplicaNeed
 from mimosamux_daemon.domain.vms import Market
 
 GRID_POINTS = 16
@@ -82,7 +82,7 @@
 
 
 def place(
-    need: Need, offers: Sequence[PricedOffer], policy: PlacementPolicy
+    need: ReplicaNeed, offers: Sequence[PricedOffer], policy: PlacementPolicy
 ) -> Placement:
     """Return the cheapest placement that meets the need.
 
@@ -93,7 +93,9 @@
     reclaimable = _as_tiers(offers, Market.RECLAIMABLE, policy)
     on_demand = _as_tiers(offers, Market.ON_DEMAND, policy)
     for share in (1.0, 0.75, 0.5, 0.25, 0.0):
-        relaxed = Need(normal=need.normal, after_loss=share * need.after_loss)
+        relaxed = ReplicaNeed(
+            normal=need.normal, after_loss=share * need.after_loss
+        )
         found = _search(relaxed, reclaimable, on_demand, policy)
         if found is not None:
             return Placement(
@@ -171,7 +173,7 @@
 
 
 def _search(
-    need: Need,
+    need: ReplicaNeed,
     reclaimable: list[_Tier],
     on_demand: list[_Tier],
     policy: PlacementPolicy,
@@ -194,7 +196,7 @@
 
 
 def _add_reclaimable(
-    need: Need,
+    need: ReplicaNeed,
     on_demand_replicas: int,
     reclaimable: list[_Tier],
     on_demand: list[_Tier],
--- a/packages/mimosamux-daemon/mimosamux_daemon/control/planning.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/control/planning.py
@@ -26,9 +26,9 @@
     CeilingShortfall,
     ClassDemand,
     ModelOffer,
-    Need,
     Offer,
     Plan,
+    ReplicaNeed,
     ServiceRate,
 )
 
@@ -107,7 +107,7 @@
     admitted_shares: Mapping[ClassName, float],
 ) -> Plan:
     counts: dict[ModelOffer, int] = {}
-    needs: dict[ModelName, Need] = {}
+    needs: dict[ModelName, ReplicaNeed] = {}
     weights: dict[tuple[ModelName, str], float] = {}
     shortfalls: list[CapacityShortfall] = []
     for model, spec in inputs.configuration.models.items():
@@ -144,7 +144,7 @@
     spec: ModelSpec,
     policy: PlanningPolicy,
     admitted_shares: Mapping[ClassName, float],
-) -> Need:
+) -> ReplicaNeed:
     demands = [
         demand.scaled(admitted_shares.get(demand.work_class, 1.0))
         for demand in inputs.demands
@@ -153,7 +153,7 @@
     if demands and all(
         admitted_shares.get(item.work_class) == 0.0 for item in demands
     ):
-        return Need(normal=0.0, after_loss=0.0)
+        return ReplicaNeed(normal=0.0, after_loss=0.0)
     return compute_need(
         demands,
         inputs.configuration.classes,
@@ -166,7 +166,7 @@
     inputs: PlanInput,
     spec: ModelSpec,
     weights: Mapping[str, float],
-    need: Need,
+    need: ReplicaNeed,
     policy: PlanningPolicy,
 ) -> Placement:
     data_centres = inputs.configuration.data_centres
--- a/packages/mimosamux-daemon/mimosamux_daemon/control/steps.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/control/steps.py
@@ -15,7 +15,7 @@
 from mimosamux_daemon.control.planning import PlanningPolicy
 from mimosamux_daemon.domain.configuration import Configuration
 from mimosamux_daemon.domain.names import DataCentreName, ModelName
-from mimosamux_daemon.domain.plan import ModelOffer, Need, Offer, Plan
+from mimosamux_daemon.domain.plan import ModelOffer, Offer, Plan, ReplicaNeed
 
 MAX_STARTS = 100
 """Starts of one planning round; each writes two rows."""
@@ -207,7 +207,7 @@
         count * weights.get(offer.machine_class, 1.0)
         for offer, count in counts.items()
     )
-    need = plan.needs.get(model, Need(normal=0.0, after_loss=0.0))
+    need = plan.needs.get(model, ReplicaNeed(normal=0.0, after_loss=0.0))
     survivors = compute_survivors(counts, weights, policy.placement)
     return (
         replicas + EPSILON >= need.normal
--- a/packages/mimosamux-daemon/mimosamux_daemon/domain/plan.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/domain/plan.py
@@ -75,7 +75,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Need:
+class ReplicaNeed:
     """Number of replicas of a model that its latency targets need."""
 
     normal: float
@@ -114,7 +114,7 @@
     """Target number of VMs for each model and offer."""
 
     counts: Mapping[ModelOffer, int] = field(default_factory=dict)
-    needs: Mapping[ModelName, Need] = field(default_factory=dict)
+    needs: Mapping[ModelName, ReplicaNeed] = field(default_factory=dict)
     per_hour: float = 0.0
     ceiling_shortfalls: tuple[CeilingShortfall, ...] = ()
     capacity_shortfalls: tuple[CapacityShortfall, ...] = ()
--- a/packages/mimosamux-daemon/mimosamux_daemon/domain/rollouts.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/domain/rollouts.py
@@ -51,7 +51,7 @@
     reason: str = ''
 
     @property
-    def age(self) -> tuple[int, int]:
+    def progress(self) -> tuple[int, int]:
         """Return the sort key: greater for a later order or a later step."""
         return self.order.number, self.step
 
@@ -64,7 +64,7 @@
         """Return the roll-out in its next stage."""
         return replace(self, stage=stage, step=self.step + 1, reason=reason)
 
-    def unproven(self) -> Collection[str]:
+    def unproven_versions(self) -> Collection[str]:
         """Return the versions that are rejected or still under trial."""
         if self.stage in (RolloutStage.TRIAL, RolloutStage.REVERTED):
             return {*self.held_back, self.order.version}
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/daemon.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/daemon.py
@@ -62,7 +62,7 @@
             rng=random.Random() if rng is None else rng,
         )
         self._server = self._build_server(
-            platform.handle_requests(self.parts.forwarder)
+            platform.create_request_handler(self.parts.forwarder)
         )
 
     def stop(self) -> None:
@@ -105,7 +105,7 @@
 
     async def _listen(self, tasks: anyio.abc.TaskGroup) -> None:
         discovery_server = self._build_server(
-            self._platform.handle_questions(
+            self._platform.create_discovery_handler(
                 Discovery(states=self.parts.states, clock=self._clock),
                 self.is_ready,
             )
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/parts.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/parts.py
@@ -120,7 +120,7 @@
         self._build_duties(wall_clock)
         self._build_crashes(shared_time)
         self._build_forwarding()
-        self.states.on_silence.append(platform.distrust_connections)
+        self.states.on_silence.append(platform.discard_idle_connections)
         self.states.parts = [
             self.vouching,
             self.endpoint_reader.sharing,
@@ -478,4 +478,4 @@
         """Drop cache index, limits and connections of a restarted endpoint."""
         self.limits.forget(old.id)
         self.chooser.prefix_index.forget(old.id)
-        self._platform.forget_connections(old.listed.address)
+        self._platform.discard_connections_to(old.listed.address)
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/rollout_duty.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/rollout_duty.py
@@ -119,7 +119,7 @@
         stage, reason = self._find_first_stage(order)
         held_back: set[str] = set()
         if previous is not None:
-            held_back = set(previous.unproven()) - {order.version}
+            held_back = set(previous.unproven_versions()) - {order.version}
         rollout = Rollout(
             order=order,
             stage=stage,
@@ -233,7 +233,8 @@
     def _is_in_force(self, rollout: Rollout) -> bool:
         """Whether all reachable daemons report that a step is in force."""
         return all(
-            counts is not None and (counts.number, counts.step) >= rollout.age
+            counts is not None
+            and (counts.number, counts.step) >= rollout.progress
             for counts in self._peer_counts(rollout)
         )
 
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/rollouts.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/rollouts.py
@@ -105,7 +105,7 @@
         """Store a step of a roll-out; False if it is not newer."""
         service = rollout.order.service
         view = self.by_service.get(service)
-        if view is not None and rollout.age <= view.rollout.age:
+        if view is not None and rollout.progress <= view.rollout.progress:
             return False
         self.by_service[service] = RolloutView(rollout=rollout)
         log.info(
@@ -127,7 +127,7 @@
     ) -> bool:
         """Store the share announced for a trial; False if it is outdated."""
         view = self.by_service.get(rollout.order.service)
-        if view is None or view.rollout.age != rollout.age:
+        if view is None or view.rollout.progress != rollout.progress:
             return False
         if sequence <= view.sequence:
             return False
@@ -234,7 +234,7 @@
     ) -> set[str]:
         unproven: set[str] = set()
         if view is not None:
-            unproven |= set(view.rollout.unproven())
+            unproven |= set(view.rollout.unproven_versions())
         is_pending = order is not None and (
             view is None or order.number > view.rollout.order.number
         )
--- a/packages/mimosamux-daemon/mimosamux_daemon/ports/gateway.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/ports/gateway.py
@@ -15,7 +15,7 @@
         """Forward a request, send its answer to `sink`, return the outcome."""
 
 
-class AddressBook(Protocol):
+class DaemonDirectory(Protocol):
     """Directory of the daemons for service discovery."""
 
     def addresses(self, region: str, data_centre: str) -> list[str]:
--- a/packages/mimosamux-daemon/mimosamux_daemon/ports/gateway_platform.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/ports/gateway_platform.py
@@ -12,7 +12,7 @@
 from mimosamux_daemon.ports.duty_calls import DutyCalls
 from mimosamux_daemon.ports.endpoint_calls import EndpointCalls
 from mimosamux_daemon.ports.feeds import Feed
-from mimosamux_daemon.ports.gateway import AddressBook, RequestForwarder
+from mimosamux_daemon.ports.gateway import DaemonDirectory, RequestForwarder
 from mimosamux_daemon.ports.run_moves import RunMoves
 from mimosamux_daemon.ports.table import Table
 
@@ -34,13 +34,15 @@
     table: Table
     duties: DutyCalls | None
     """None: the daemon reports no usage and orders no endpoints."""
-    handle_requests: Callable[[RequestForwarder], Handler]
+    create_request_handler: Callable[[RequestForwarder], Handler]
     """Creates the handler for callers' requests."""
-    handle_questions: Callable[[AddressBook, Callable[[], bool]], Handler]
+    create_discovery_handler: Callable[
+        [DaemonDirectory, Callable[[], bool]], Handler
+    ]
     """Creates the handler for service discovery and readiness."""
-    distrust_connections: Callable[[], None]
+    discard_idle_connections: Callable[[], None]
     """Discards all idle connections from connection pools."""
-    forget_connections: Callable[[str], None]
+    discard_connections_to: Callable[[str], None]
     """Discards the idle connections to an endpoint's address."""
     run: Callable[[], Coroutine[Any, Any, None]]
     """Maintains the connection pools until cancelled."""
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -18,7 +18,7 @@
     PlanningPolicy,
     make_plan,
 )
-from mimosamux_daemon.domain.plan import Need, Offer
+from mimosamux_daemon.domain.plan import Offer, ReplicaNeed
 from mimosamux_daemon.domain.vms import VMState
 
 from tests.support.clock import run_paused
@@ -104,7 +104,7 @@
     def test_placement_survives_every_loss_that_is_planned_for(self):
         for normal in (1, 2, 3, 6, 20, 300):
             for share in (0.2, 0.6, 1.0):
-                need = Need(normal=normal, after_loss=share * normal)
+                need = ReplicaNeed(normal=normal, after_loss=share * normal)
                 placed = place(need, offers(), PlacementPolicy())
                 survivors = compute_survivors(
                     placed.counts, {}, PlacementPolicy()
@@ -114,10 +114,10 @@
                 self.assertGreaterEqual(survivors, need.after_loss - 1e-6)
 
     def test_on_demand_only_as_much_as_the_loss_needs(self):
-        need = Need(normal=20, after_loss=8)
+        need = ReplicaNeed(normal=20, after_loss=8)
         cheap = place(need, offers(fixed=9.0), PlacementPolicy())
         dear = place(
-            Need(normal=20, after_loss=20), offers(), PlacementPolicy()
+            ReplicaNeed(normal=20, after_loss=20), offers(), PlacementPolicy()
         )
         markets = Counter()
         for offer, count in dear.counts.items():
@@ -127,7 +127,7 @@
         self.assertLess(dear.cost, 20 * 3.0)
 
     def test_plan_of_a_small_site_is_the_cheapest_there_is(self):
-        need = Need(normal=5, after_loss=3)
+        need = ReplicaNeed(normal=5, after_loss=3)
         prices = (1.0, 1.4, 2.2)
         best = min(
             price_of(counts, prices)
@@ -138,7 +138,7 @@
         self.assertAlmostEqual(placed.cost, best)
 
     def test_small_difference_in_price_moves_nothing(self):
-        need = Need(normal=4, after_loss=2)
+        need = ReplicaNeed(normal=4, after_loss=2)
         first = place(need, offers(spot=(1.0, 1.1, 1.2)), PlacementPolicy())
         again = place(
             need,
@@ -154,7 +154,9 @@
             for item in offers()
             if item.offer.market is SPOT and item.offer.data_centre == 'north'
         ]
-        placed = place(Need(normal=4, after_loss=4), few, PlacementPolicy())
+        placed = place(
+            ReplicaNeed(normal=4, after_loss=4), few, PlacementPolicy()
+        )
         self.assertFalse(placed.meets_need)
         self.assertEqual(sum(placed.counts.values()), 4)
 
