--- a/packages/mimosamux-daemon/mimosamux_daemon/adapters/http_platform.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/adapters/http_platform.py
@@ -91,9 +91,13 @@
                 content=body,
             )
         except NOT_SENT as error:
-            return Unavailable(reason=_describe(error), may_have_landed=False)
+            return Unavailable(
+                reason=_describe(error), may_have_taken_effect=False
+            )
         except (httpx.HTTPError, httpx.InvalidURL) as error:
-            return Unavailable(reason=_describe(error), may_have_landed=True)
+            return Unavailable(
+                reason=_describe(error), may_have_taken_effect=True
+            )
         return Reply(status=response.status_code, body=response.content)
 
     async def close(self) -> None:
@@ -113,7 +117,7 @@
         problem = first_problem(error)
         return Unavailable(
             reason=f'malformed answer: {problem.path}: {problem.message}',
-            may_have_landed=True,
+            may_have_taken_effect=True,
         )
 
 
@@ -125,7 +129,7 @@
         problem = ProblemModel()
     return Unavailable(
         reason=f'status {reply.status} {problem.message}'.strip(),
-        may_have_landed=not problem.not_applied,
+        may_have_taken_effect=not problem.not_applied,
     )
 
 
--- a/packages/mimosamux-daemon/mimosamux_daemon/adapters/http_table.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/adapters/http_table.py
@@ -105,6 +105,6 @@
         if {write.key for write in writes} - parsed.versions.keys():
             return Unavailable(
                 reason='malformed answer: versions: a key is missing',
-                may_have_landed=True,
+                may_have_taken_effect=True,
             )
         return Committed(versions=parsed.versions)
--- a/packages/mimosamux-daemon/mimosamux_daemon/adapters/memory_cloud.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/adapters/memory_cloud.py
@@ -134,14 +134,14 @@
     ) -> tuple[VM, ...] | Unavailable:
         """Return the live and leaving VMs, as of some seconds ago."""
         if not await self._is_up():
-            return Unavailable(reason='down', may_have_landed=False)
+            return Unavailable(reason='down', may_have_taken_effect=False)
         listed = self._as_of(anyio.current_time() - self.faults.list_lag_s)
         return select_vms(listed, data_centres)
 
     async def list_notices(self) -> tuple[ReclaimNotice, ...] | Unavailable:
         """Return the reclaim notices in force now."""
         if not await self._is_up():
-            return Unavailable(reason='down', may_have_landed=False)
+            return Unavailable(reason='down', may_have_taken_effect=False)
         now = anyio.current_time()
         return tuple(
             ReclaimNotice(vm=vm, seconds_left=record.gone_at - now)
@@ -152,7 +152,7 @@
     async def list_prices(self) -> tuple[Price, ...] | Unavailable:
         """Return the prices in force now."""
         if not await self._is_up():
-            return Unavailable(reason='down', may_have_landed=False)
+            return Unavailable(reason='down', may_have_taken_effect=False)
         return tuple(
             Price(
                 data_centre=offer[0],
@@ -168,7 +168,7 @@
     ) -> VM | StartRefused | Unavailable:
         """Start a VM."""
         if not await self._is_up():
-            return Unavailable(reason='down', may_have_landed=False)
+            return Unavailable(reason='down', may_have_taken_effect=False)
         offer = (order.data_centre, order.machine_class, order.market)
         if offer in self.faults.refused or offer not in self.prices_by_offer:
             self.refusals.append(order)
@@ -176,13 +176,15 @@
         vm = self._start(order)
         if self.faults.lose_next_starts > 0:
             self.faults.lose_next_starts -= 1
-            return Unavailable(reason='answer lost', may_have_landed=True)
+            return Unavailable(
+                reason='answer lost', may_have_taken_effect=True
+            )
         return vm
 
     async def stop_vm(self, vm: VMId) -> None | Unavailable:
         """Stop a VM; stopping one that is gone is no error."""
         if not await self._is_up():
-            return Unavailable(reason='down', may_have_landed=False)
+            return Unavailable(reason='down', may_have_taken_effect=False)
         self.stops.append(vm)
         record = self.by_id.get(vm)
         if record is not None:
@@ -191,7 +193,9 @@
             record.gone_at = min(record.gone_at, now)
         if self.faults.lose_next_stops > 0:
             self.faults.lose_next_stops -= 1
-            return Unavailable(reason='answer lost', may_have_landed=True)
+            return Unavailable(
+                reason='answer lost', may_have_taken_effect=True
+            )
         return None
 
     async def _is_up(self) -> bool:
--- a/packages/mimosamux-daemon/mimosamux_daemon/adapters/memory_object_store.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/adapters/memory_object_store.py
@@ -18,7 +18,7 @@
         """Store the object, replacing an earlier one."""
         await anyio.lowlevel.checkpoint()
         if self.down:
-            return Unavailable(reason='down', may_have_landed=False)
+            return Unavailable(reason='down', may_have_taken_effect=False)
         self.objects_by_key[key] = data
         return None
 
@@ -26,5 +26,5 @@
         """Return the object, None where there is none."""
         await anyio.lowlevel.checkpoint()
         if self.down:
-            return Unavailable(reason='down', may_have_landed=False)
+            return Unavailable(reason='down', may_have_taken_effect=False)
         return self.objects_by_key.get(key)
--- a/packages/mimosamux-daemon/mimosamux_daemon/adapters/memory_table.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/adapters/memory_table.py
@@ -16,7 +16,7 @@
     Write,
 )
 
-ANSWER_LOST = Unavailable(reason='answer lost', may_have_landed=True)
+ANSWER_LOST = Unavailable(reason='answer lost', may_have_taken_effect=True)
 
 
 @dataclass(kw_only=True, slots=True)
@@ -56,7 +56,7 @@
     async def read(self, key: str) -> Row | None | Unavailable:
         """Return the row, None where there is none."""
         if not await self._is_up():
-            return Unavailable(reason='down', may_have_landed=False)
+            return Unavailable(reason='down', may_have_taken_effect=False)
         self.rows_read += 1
         row = self.rows_by_key.get(key)
         await self._delay_answer()
@@ -67,7 +67,7 @@
     ) -> tuple[Row, ...] | Unavailable:
         """Return rows whose key starts with `prefix`, sorted by key."""
         if not await self._is_up():
-            return Unavailable(reason='down', may_have_landed=False)
+            return Unavailable(reason='down', may_have_taken_effect=False)
         keys = sorted(
             key
             for key in self.rows_by_key
@@ -83,7 +83,7 @@
     ) -> CommitOutcome:
         """Write all rows together if every check holds."""
         if not await self._is_up():
-            return Unavailable(reason='down', may_have_landed=False)
+            return Unavailable(reason='down', may_have_taken_effect=False)
         if self.faults.hold_next_commits > 0:
             self.faults.hold_next_commits -= 1
             self._hold(checks, writes)
--- a/packages/mimosamux-daemon/mimosamux_daemon/adapters/memory_weight_store.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/adapters/memory_weight_store.py
@@ -30,7 +30,7 @@
         """Return the size of a model's weights, None if unknown."""
         await anyio.lowlevel.checkpoint()
         if self.down:
-            return Unavailable(reason='down', may_have_landed=False)
+            return Unavailable(reason='down', may_have_taken_effect=False)
         return self.sizes_by_model.get((model, version))
 
     async def limits(
@@ -39,6 +39,6 @@
         """Return the rate that a data centre may load with."""
         await anyio.lowlevel.checkpoint()
         if self.down:
-            return Unavailable(reason='down', may_have_landed=False)
+            return Unavailable(reason='down', may_have_taken_effect=False)
         rate = self.rates_by_data_centre.get(data_centre, DEFAULT_BYTES_PER_S)
         return WeightLimits(bytes_per_s=rate)
--- a/packages/mimosamux-daemon/mimosamux_daemon/control/configuration_acceptor.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/control/configuration_acceptor.py
@@ -190,10 +190,10 @@
         ]
         doubt.version = record.version
         outcome = await self._log.append(record, entries)
-        may_have_landed = (
-            isinstance(outcome, Unavailable) and outcome.may_have_landed
+        may_have_taken_effect = (
+            isinstance(outcome, Unavailable) and outcome.may_have_taken_effect
         )
-        if not may_have_landed and not was_in_doubt:
+        if not may_have_taken_effect and not was_in_doubt:
             doubt.version = 0
         if isinstance(outcome, Committed):
             doubt.version = 0
--- a/packages/mimosamux-daemon/mimosamux_daemon/control/configuration_log.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/control/configuration_log.py
@@ -141,7 +141,7 @@
             self._table.commit(
                 [Check(key=HEAD_KEY, version=row_version)], writes
             ),
-            may_have_landed=True,
+            may_have_taken_effect=True,
         )
 
     async def compact(self, replica: ConfigurationReplica) -> None:
@@ -178,7 +178,7 @@
                     )
                 ],
             ),
-            may_have_landed=True,
+            may_have_taken_effect=True,
         )
         if isinstance(pointer_write, Unavailable):
             return
@@ -210,7 +210,7 @@
                 self._table.commit(
                     [], [Write(key=key, value=None) for key in old]
                 ),
-                may_have_landed=True,
+                may_have_taken_effect=True,
             )
             if isinstance(deleted, Unavailable):
                 return
@@ -250,7 +250,7 @@
             log.error('snapshot_missing', key=key, held=replica.version)
             return Unavailable(
                 reason=f'{key} does not lead on from {replica.version}',
-                may_have_landed=False,
+                may_have_taken_effect=False,
             )
         return None
 
@@ -263,13 +263,14 @@
         self,
         call: Awaitable[ResultT],
         *,
-        may_have_landed: bool = False,
+        may_have_taken_effect: bool = False,
     ) -> ResultT | Unavailable:
         # A call that hangs would block all operators queued behind it.
         with anyio.move_on_after(CALL_TIMEOUT_S):
             return await call
         return Unavailable(
-            reason='no answer in time', may_have_landed=may_have_landed
+            reason='no answer in time',
+            may_have_taken_effect=may_have_taken_effect,
         )
 
     def _count(self, kind: str, rows: int) -> None:
--- a/packages/mimosamux-daemon/mimosamux_daemon/control/leases.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/control/leases.py
@@ -154,7 +154,7 @@
         """Read the current row of the lease; None if there is none."""
         with anyio.move_on_after(self._policy.call_timeout_s):
             return await self._table.read(self._key)
-        return Unavailable(reason='timeout', may_have_landed=False)
+        return Unavailable(reason='timeout', may_have_taken_effect=False)
 
     def is_own(self, row: Row) -> bool:
         """Return whether this incarnation of this daemon holds the lease."""
@@ -190,7 +190,7 @@
             return self._make_lease(
                 record, outcome.versions[self._key], sent_at
             )
-        if isinstance(outcome, Unavailable) and outcome.may_have_landed:
+        if isinstance(outcome, Unavailable) and outcome.may_have_taken_effect:
             return await self._confirm_take(record, sent_at)
         return LeaseUnconfirmed(reason=_describe(outcome))
 
@@ -265,7 +265,7 @@
             return await self._table.commit(
                 [Check(key=self._key, version=version)], writes
             )
-        return Unavailable(reason='timeout', may_have_landed=True)
+        return Unavailable(reason='timeout', may_have_taken_effect=True)
 
     def _make_lease(
         self, record: LeaseRecord, version: int, sent_at: float
--- a/packages/mimosamux-daemon/mimosamux_daemon/control/order_rows.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/control/order_rows.py
@@ -154,7 +154,7 @@
     async def _scan(self, after: str) -> tuple[Row, ...] | Unavailable:
         with anyio.move_on_after(CALL_TIMEOUT_S):
             return await self._table.scan(self._prefix, after=after)
-        return Unavailable(reason='timeout', may_have_landed=False)
+        return Unavailable(reason='timeout', may_have_taken_effect=False)
 
     async def _write_batch(self, changes: Sequence[OrderChange]) -> bool:
         writes = [_as_write(change) for change in changes]
--- a/packages/mimosamux-daemon/mimosamux_daemon/control/orders.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/control/orders.py
@@ -345,7 +345,7 @@
     async def _start_vm(self, tracked: TrackedOrder) -> None:
         order = tracked.order
         outcome: VM | StartRefused | Unavailable
-        outcome = Unavailable(reason='timeout', may_have_landed=True)
+        outcome = Unavailable(reason='timeout', may_have_taken_effect=True)
         if not self._lease.is_valid():
             return
         with anyio.move_on_after(self._dependencies.policy.call_timeout_s):
@@ -369,7 +369,7 @@
             self._dependencies.backoff.note_refused(order.offer)
             await self._delete_order(tracked, 'start refused')
             self._dependencies.on_refused()
-        elif not outcome.may_have_landed:
+        elif not outcome.may_have_taken_effect:
             await self._delete_order(tracked, 'cloud did not answer')
 
     async def _delete_order(self, tracked: TrackedOrder, why: str) -> None:
@@ -437,7 +437,9 @@
             await self._dependencies.drains.drain(EndpointId(tracked.order.vm))
             while self._lease.is_valid():
                 outcome: None | Unavailable
-                outcome = Unavailable(reason='timeout', may_have_landed=True)
+                outcome = Unavailable(
+                    reason='timeout', may_have_taken_effect=True
+                )
                 with anyio.move_on_after(
                     self._dependencies.policy.call_timeout_s
                 ):
--- a/packages/mimosamux-daemon/mimosamux_daemon/control/store_guard.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/control/store_guard.py
@@ -41,7 +41,7 @@
 
 ROWS_READ = 'read'
 ROWS_WRITTEN = 'written'
-CIRCUIT_OPEN = Unavailable(reason='circuit open', may_have_landed=False)
+CIRCUIT_OPEN = Unavailable(reason='circuit open', may_have_taken_effect=False)
 
 
 @dataclass(kw_only=True, slots=True)
@@ -99,7 +99,7 @@
             result = await self._attempt(call, timeout_s)
             if not isinstance(result, Unavailable):
                 return result
-            if result.may_have_landed and not is_idempotent:
+            if result.may_have_taken_effect and not is_idempotent:
                 return result
         return result
 
@@ -111,7 +111,7 @@
         # A call that is cancelled here may still reach the store, so a
         # write that timed out may have landed.
         result: ResultT | Unavailable = Unavailable(
-            reason=f'no answer in {timeout_s} s', may_have_landed=True
+            reason=f'no answer in {timeout_s} s', may_have_taken_effect=True
         )
         with anyio.move_on_after(timeout_s):
             result = await call()
--- a/packages/mimosamux-daemon/mimosamux_daemon/domain/store.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/domain/store.py
@@ -51,11 +51,11 @@
 class Unavailable:
     """The platform sent no valid answer.
 
-    If `may_have_landed`, the call may have taken effect nevertheless.
+    With `may_have_taken_effect` False, the call certainly had no effect.
     """
 
     reason: str
-    may_have_landed: bool
+    may_have_taken_effect: bool
 
 
 CommitOutcome = Committed | Conflict | Unavailable
--- a/packages/mimosamux-daemon/mimosamux_daemon/serving/journal.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/serving/journal.py
@@ -52,7 +52,7 @@
 """Most requests in one commit."""
 MAX_BATCH_PROMPT_LENGTH = 256 * 1024
 """Most characters of all prompts in a commit of several requests."""
-NOT_ATTEMPTED = Unavailable(reason='not tried', may_have_landed=False)
+NOT_ATTEMPTED = Unavailable(reason='not tried', may_have_taken_effect=False)
 CLAIM_PAGE_ROWS = 100
 MAX_CLAIM_ATTEMPTS = 3
 
@@ -167,7 +167,7 @@
         )
         if isinstance(result.outcome, Committed):
             self._add_batch(name, entries, result)
-        elif result.may_have_landed:
+        elif result.may_have_taken_effect:
             self._unconfirmed_claims.add(name)
         return result.outcome
 
@@ -179,7 +179,7 @@
             batch = parse_batch(row.value) if isinstance(row, Row) else None
             if batch is not None:
                 self._unconfirmed_claims.discard(name)
-                result = _WriteResult(may_have_landed=True)
+                result = _WriteResult(may_have_taken_effect=True)
                 self._add_batch(name, batch.entries, result)
                 entries += batch.entries
         return entries
@@ -217,7 +217,7 @@
         if failed is None:
             self._batches.apply_committed(cleanup, anyio.current_time())
             self._add_batch(name, entries, result)
-        elif result.may_have_landed:
+        elif result.may_have_taken_effect:
             self._failed_batches.add(name)
         for pending in group:
             if pending.is_cancelled:
@@ -253,7 +253,7 @@
         self._batches.add(
             name,
             (entry.request.id for entry in entries),
-            may_land_twice=result.may_have_landed,
+            may_land_twice=result.may_have_taken_effect,
         )
 
     async def _write_batch(
@@ -279,7 +279,9 @@
                 )
             if not isinstance(result.outcome, Unavailable):
                 return result
-            result.may_have_landed |= result.outcome.may_have_landed
+            result.may_have_taken_effect |= (
+                result.outcome.may_have_taken_effect
+            )
             if anyio.current_time() >= give_up_at:
                 return result
             await anyio.sleep(RETRY_PAUSE_S)
@@ -336,7 +338,7 @@
     """Result of the write of a batch."""
 
     outcome: Committed | Conflict | Unavailable = NOT_ATTEMPTED
-    may_have_landed: bool = False
+    may_have_taken_effect: bool = False
     """An attempt may have taken effect or may still do so."""
 
 
@@ -347,7 +349,11 @@
 def _as_failure(result: _WriteResult) -> Unavailable | None:
     if isinstance(result.outcome, Conflict):
         # Batch names are unique: no other writer can have this key.
-        return Unavailable(reason='journal row taken', may_have_landed=False)
+        return Unavailable(
+            reason='journal row taken', may_have_taken_effect=False
+        )
     if isinstance(result.outcome, Unavailable):
-        return replace(result.outcome, may_have_landed=result.may_have_landed)
+        return replace(
+            result.outcome, may_have_taken_effect=result.may_have_taken_effect
+        )
     return None
--- a/packages/mimosamux-daemon/mimosamux_daemon/serving/model_serving.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/serving/model_serving.py
@@ -268,7 +268,7 @@
         recorded = await self._journal.record(request)
         if not isinstance(recorded, Unavailable):
             return None
-        if recorded.may_have_landed:
+        if recorded.may_have_taken_effect:
             return InDoubt(
                 request=request.id,
                 message='the journal gave no answer; the request may be run',
--- a/packages/mimosamux-daemon/mimosamux_daemon/serving/side_effect_store.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/serving/side_effect_store.py
@@ -120,7 +120,7 @@
                     return _claim_or_found(found, row, sent_at)
                 version = found.version if found else 0
                 continue
-            if outcome.may_have_landed:
+            if outcome.may_have_taken_effect:
                 replaceable_version = version
             has_timed_out = anyio.current_time() >= give_up_at
             if replaceable_version is None or has_timed_out:
--- a/packages/mimosamux-standins/mimosamux_standins/cloud.py
+++ b/packages/mimosamux-standins/mimosamux_standins/cloud.py
@@ -11,8 +11,8 @@
 from mimosamux_daemon.domain.vms import VM, Price, ReclaimNotice, VMState
 from mimosamux_daemon.ports.models.cloud import StartRefused, StartVM
 
-DOWN = Unavailable(reason='down', may_have_landed=False)
-ANSWER_LOST = Unavailable(reason='answer lost', may_have_landed=True)
+DOWN = Unavailable(reason='down', may_have_taken_effect=False)
+ANSWER_LOST = Unavailable(reason='answer lost', may_have_taken_effect=True)
 
 
 @dataclass(kw_only=True, slots=True)
--- a/packages/mimosamux-standins/mimosamux_standins/platform.py
+++ b/packages/mimosamux-standins/mimosamux_standins/platform.py
@@ -261,7 +261,7 @@
 
 
 def _unavailable(problem: Unavailable) -> Response:
-    landed = problem.may_have_landed
+    landed = problem.may_have_taken_effect
     return _reply(
         {'message': problem.reason, 'not_applied': not landed},
         status=500 if landed else 503,
--- a/tests/support/clouds.py
+++ b/tests/support/clouds.py
@@ -58,5 +58,5 @@
 
     def _answer(self, items: list[Any]) -> Any:
         if self.is_down:
-            return Unavailable(reason='outage', may_have_landed=False)
+            return Unavailable(reason='outage', may_have_taken_effect=False)
         return tuple(items)
--- a/tests/support/leases.py
+++ b/tests/support/leases.py
@@ -38,13 +38,13 @@
     async def _pass_on(self, call, *args):
         await self.thawed.wait()
         if self.is_cut:
-            return Unavailable(reason='cut', may_have_landed=False)
+            return Unavailable(reason='cut', may_have_taken_effect=False)
         await anyio.sleep(self.request_delay_s)
         answer = await call(*args)
         await anyio.sleep(self.answer_delay_s)
         await self.thawed.wait()
         if self.loses_answers:
-            return Unavailable(reason='lost', may_have_landed=True)
+            return Unavailable(reason='lost', may_have_taken_effect=True)
         return answer
 
 
--- a/tests/test_durable_requests.py
+++ b/tests/test_durable_requests.py
@@ -17,9 +17,9 @@
 class FailingJournal:
     """Fails each record, in one way or the other."""
 
-    def __init__(self, *, may_have_landed: bool) -> None:
+    def __init__(self, *, may_have_taken_effect: bool) -> None:
         self.answer = Unavailable(
-            reason='outage', may_have_landed=may_have_landed
+            reason='outage', may_have_taken_effect=may_have_taken_effect
         )
         self.asked = anyio.Event()
         self.delay_s = 0.0
@@ -45,7 +45,7 @@
 class TestDurableRequests(unittest.TestCase):
     def test_a_record_that_was_not_made_is_an_honest_refusal(self):
         async def check():
-            return FailingJournal(may_have_landed=False)
+            return FailingJournal(may_have_taken_effect=False)
 
         outcome = offer(run_paused(check))
         self.assertIsInstance(outcome, Refused)
@@ -59,7 +59,7 @@
         """
 
         async def check():
-            return FailingJournal(may_have_landed=True)
+            return FailingJournal(may_have_taken_effect=True)
 
         self.assertIsInstance(offer(run_paused(check)), InDoubt)
 
@@ -70,7 +70,7 @@
         """
 
         async def check():
-            journal = FailingJournal(may_have_landed=False)
+            journal = FailingJournal(may_have_taken_effect=False)
             journal.delay_s = 1.0
             async with open_site(engines=1, journal=journal) as site:
                 request = make_request('a trip', work_class=LASTING)
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -210,7 +210,7 @@
             self.assertEqual(len(await daemons.claim('d2', 'd1')), 2)
 
         async def fail(table, key):
-            return Unavailable(reason='down', may_have_landed=False)
+            return Unavailable(reason='down', may_have_taken_effect=False)
 
         self.play(check)
 
@@ -225,7 +225,7 @@
             daemons.table.faults.hold_next_commits = 100
             daemons.table.faults.hold_s = 6.0
             failed = await daemons.record('d1', 'r0')
-            self.assertTrue(failed.may_have_landed)
+            self.assertTrue(failed.may_have_taken_effect)
             daemons.table.faults.hold_next_commits = 0
             await anyio.sleep(30)
             daemons.kill('d1')
--- a/tests/test_platform_http.py
+++ b/tests/test_platform_http.py
@@ -140,7 +140,7 @@
             async with platform() as (stand_in, client, _):
                 stand_in.table.faults.down = True
                 outcome = await HttpTable(client=client).commit([], WRITE)
-                self.assertFalse(outcome.may_have_landed)
+                self.assertFalse(outcome.may_have_taken_effect)
 
         anyio.run(check)
 
@@ -155,7 +155,7 @@
             async with platform() as (stand_in, client, proxy):
                 proxy.faults.drop_answers = 1
                 outcome = await HttpTable(client=client).commit([], WRITE)
-                self.assertTrue(outcome.may_have_landed)
+                self.assertTrue(outcome.may_have_taken_effect)
                 self.assertIn('a/ü', stand_in.table.rows_by_key)
 
         anyio.run(check)
@@ -164,7 +164,7 @@
         async def check():
             client = PlatformClient(base_url='http://127.0.0.1:9')
             outcome = await HttpTable(client=client).commit([], WRITE)
-            self.assertFalse(outcome.may_have_landed)
+            self.assertFalse(outcome.may_have_taken_effect)
             await client.close()
 
         anyio.run(check)
--- a/tests/test_store_guard.py
+++ b/tests/test_store_guard.py
@@ -63,7 +63,7 @@
         async def check():
             self.memory.faults.lose_next_answers = 1
             outcome = await self.table.commit(CHECKS, WRITES)
-            self.assertTrue(outcome.may_have_landed)
+            self.assertTrue(outcome.may_have_taken_effect)
             self.assertEqual(self.memory.calls, 1)
 
         run_paused(check)
@@ -74,7 +74,7 @@
         async def check():
             self.memory.faults.delay_s = 60.0
             outcome = await self.table.commit(CHECKS, WRITES)
-            self.assertTrue(outcome.may_have_landed)
+            self.assertTrue(outcome.may_have_taken_effect)
             self.assertLess(anyio.current_time() - started, 2.0)
 
         started = 0.0
@@ -114,7 +114,7 @@
                 await self.table.read('a')
             calls = self.memory.calls
             outcome = await self.table.commit(CHECKS, WRITES)
-            self.assertFalse(outcome.may_have_landed)
+            self.assertFalse(outcome.may_have_taken_effect)
             self.assertEqual(self.memory.calls, calls)
 
         run_paused(check)
