--- a/packages/mimosamux-cli/mimosamux_cli/commands.py
+++ b/packages/mimosamux-cli/mimosamux_cli/commands.py
@@ -7,7 +7,7 @@
 
 from mimosamux_daemon.context import Environment
 from mimosamux_daemon.control.configuration_models import parse_configuration
-from mimosamux_daemon.core import find_face, read_fields
+from mimosamux_daemon.core import load_program, read_fields
 
 from mimosamux_cli.caller import Caller
 from mimosamux_cli.config_commands import ConfigCommands
@@ -190,7 +190,7 @@
         Example: mimosamux check site.yaml --kind configuration
         """
         if kind == 'settings':
-            find_face(read_fields(file)).check(file)
+            load_program(read_fields(file)).check(file)
         elif kind == 'configuration':
             parse_configuration(read_document(file), version=1)
         else:
--- a/packages/mimosamux-daemon/mimosamux_daemon/control_parts.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/control_parts.py
@@ -1,4 +1,4 @@
-"""The control parts of a daemon, put together over its ports."""
+"""Composition root of the control plane of one daemon."""
 
 import uuid
 from collections.abc import Callable, Sequence
@@ -41,14 +41,18 @@
 log = get_log('control')
 
 SETTINGS_AUTHOR = 'settings'
-FULL_STREAMS = 200
-"""Open streams that a daemon carries well: 250 of them take between 0.92
-of a core and all of it (`python -m benchmarks relay`)."""
+FULL_LOAD_STREAMS = 200
+"""Open streams at which a daemon reports full load: 250 streams use 0.92
+to 1.0 of a core (`python -m benchmarks relay`)."""
 
 
 @dataclass(kw_only=True)
 class ControlParts:
-    """What the daemons share, as one of them takes part in it."""
+    """Control components of one daemon.
+
+    They keep the membership and the replicated configuration, and guard the
+    access to the table and the object store.
+    """
 
     settings: Settings
     guard: StoreGuard
@@ -67,11 +71,11 @@
     audit_table: Table
 
     async def start(self) -> None:
-        """Return once the newest configuration is in force here."""
+        """Return once the newest configuration is in force at this daemon."""
         await self.membership.joined.wait()
-        await self.sync.start(self._propose_first)
+        await self.sync.start(self._propose_initial)
 
-    async def _propose_first(self) -> None:
+    async def _propose_initial(self) -> None:
         document = self.settings.configuration
         if document is None:
             return
@@ -97,7 +101,7 @@
     caller_address: Callable[[], str],
     wall_clock: Callable[[], float],
 ) -> ControlParts:
-    """Return the control parts over a platform."""
+    """Build the control components on the ports of `platform`."""
     guard = StoreGuard(metrics=metrics)
     fleet = Fleet()
     prices = PriceBook()
@@ -121,7 +125,7 @@
         peers=peers,
         seeds=seeds.current,
         version=lambda: in_force.current.version,
-        load=lambda: find_load(fleet),
+        load=lambda: compute_load(fleet),
         wall_clock=wall_clock,
     )
     replica = ConfigurationReplica(in_force=in_force)
@@ -168,14 +172,17 @@
     )
 
 
-def find_load(fleet: Fleet) -> int:
-    """Return the share of this daemon's capacity in use, in thousandths."""
+def compute_load(fleet: Fleet) -> int:
+    """Return the open streams in thousandths of capacity, at most 1000."""
     streams = sum(len(state.open_by_request) for state in fleet.by_id.values())
-    return min(1000, 1000 * streams // FULL_STREAMS)
+    return min(1000, 1000 * streams // FULL_LOAD_STREAMS)
 
 
 def guard_table(
     guard: StoreGuard, platform: Platform, mechanism: str
 ) -> GuardedTable:
-    """Return the table with deadlines, counted for one mechanism."""
+    """Return the table with deadlines and a circuit breaker.
+
+    Its metrics count the rows under `mechanism`.
+    """
     return GuardedTable(guard=guard, table=platform.table, mechanism=mechanism)
--- a/packages/mimosamux-daemon/mimosamux_daemon/core.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/core.py
@@ -1,4 +1,8 @@
-"""The program `mimosamuxd`."""
+"""Command line of `mimosamuxd`.
+
+The fields of the settings file select one of two kinds of daemon: one that
+serves models under its own caller API, or a gateway.
+"""
 
 import importlib
 import pathlib
@@ -13,26 +17,27 @@
 from mimosamux_daemon.errors import InvalidInput
 from mimosamux_daemon.status import ExitStatus
 
-MODELS = 'mimosamux_daemon.model_program'
-GATEWAY = 'mimosamux_daemon.gateway.program'
+MODEL_PROGRAM = 'mimosamux_daemon.model_program'
+GATEWAY_PROGRAM = 'mimosamux_daemon.gateway.program'
 GATEWAY_FIELD = 'adapter'
-"""Field that only the settings of a gateway have."""
-EARLY = ('entry', 'discovery', 'readiness', 'peers')
-"""Addresses of a gateway that others may connect to at any time."""
+"""Top-level field that only the settings of a gateway have."""
+EARLY_LISTEN_FIELDS = ('entry', 'discovery', 'readiness', 'peers')
+"""Fields under `listen` of a gateway: its early listeners' addresses."""
 
 
-class Face(Protocol):
-    """One of the two kinds of daemon that the program can run as."""
+class DaemonProgram(Protocol):
+    """Module of one of the two kinds of daemon."""
 
     def check(self, path: str) -> None:
-        """Raise `InvalidInput` for a settings file that is wrong."""
+        """Raise `InvalidInput` if the settings file is invalid."""
 
     def serve(
         self, path: str, env: Environment, listening: SocketsByAddress
     ) -> None:
         """Run a daemon until it is stopped.
 
-        `listening` are sockets that may be open for its addresses.
+        `listening` holds the listening sockets that are already open for
+        its addresses.
         """
 
 
@@ -63,18 +68,18 @@
         """Run a daemon with the settings file until SIGTERM or Ctrl-C."""
         fields = read_fields(settings)
         listening = open_early(find_early_addresses(fields))
-        find_face(fields).serve(settings, self._env, listening)
+        load_program(fields).serve(settings, self._env, listening)
 
     def check(self, settings: str) -> None:
         """Check a settings file and say what is wrong with it."""
-        find_face(read_fields(settings)).check(settings)
+        load_program(read_fields(settings)).check(settings)
         print(f'{settings}: valid', file=self._env.stdout)
 
 
 def read_fields(path: str) -> dict[str, object]:
-    """Return the fields of a settings file, none where it is unreadable.
+    """Return the fields of a settings file; none if it is malformed.
 
-    What is wrong with it is said where it is checked.
+    The later check of the settings reports what is wrong with the file.
     """
     try:
         fields = yaml.safe_load(pathlib.Path(path).read_text())
@@ -84,19 +89,24 @@
 
 
 def find_early_addresses(fields: dict[str, object]) -> list[object]:
-    """Return where a gateway with these settings will listen."""
+    """Return the addresses that a gateway listens on before it is loaded.
+
+    The values are unchecked. Settings of another daemon give none.
+    """
     listen = fields.get('listen')
     if GATEWAY_FIELD not in fields or not isinstance(listen, dict):
         return []
-    return [listen.get(name) for name in EARLY]
+    return [listen.get(name) for name in EARLY_LISTEN_FIELDS]
 
 
-def find_face(fields: dict[str, object]) -> Face:
-    """Return the kind of daemon that settings are for.
+def load_program(fields: dict[str, object]) -> DaemonProgram:
+    """Import and return the module of the daemon that the settings are for.
 
-    Only its modules are loaded: those of the other kind, with their
-    libraries, would cost 25 MB of a small VM and delay each start.
+    The modules of the other kind, with their libraries, are not loaded: they
+    would cost 25 MB of memory on a small VM and delay each start.
     """
     is_gateway = GATEWAY_FIELD in fields
-    face: Face = importlib.import_module(GATEWAY if is_gateway else MODELS)
-    return face
+    program: DaemonProgram = importlib.import_module(
+        GATEWAY_PROGRAM if is_gateway else MODEL_PROGRAM
+    )
+    return program
--- a/packages/mimosamux-daemon/mimosamux_daemon/daemon.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/daemon.py
@@ -1,4 +1,4 @@
-"""One daemon: starts its parts in order and stops them in order."""
+"""Lifecycle of a daemon: ordered start-up and graceful stop."""
 
 import socket
 import ssl
@@ -37,11 +37,15 @@
 log = get_log('daemon')
 
 CLOSE_GRACE_S = 5.0
-"""Time for the last bytes of answers that have ended to be sent."""
+"""Time to send the buffered bytes of completed answers."""
 
 
 class Daemon:
-    """One daemon; `run` returns after `stop` was asked for."""
+    """One daemon process: its components, HTTP server and stop sequence.
+
+    `run` returns after a stop requested with `stop`, by a reclaim notice or
+    by a newer process with the same daemon name.
+    """
 
     def __init__(
         self,
@@ -51,25 +55,26 @@
     ) -> None:
         self.settings = settings
         self.address = ''
-        """`host:port` of the caller API once it listens."""
+        """`host:port` of the caller API; empty until the socket is open."""
         self.in_force = ConfigurationInForce()
         self.metrics = Metrics()
         self.listening = anyio.Event()
+        """Set once callers and other daemons can connect."""
         self.started = anyio.Event()
         """Set once the daemon is ready to serve."""
         self.stopping = anyio.Event()
         self._closed = anyio.Event()
-        self._gone_at: float | None = None
-        """Time at which the platform takes this VM, if it said so."""
+        self._reclaim_at: float | None = None
+        """Time at which the platform reclaims this VM, if announced."""
         self._stop_scope = anyio.CancelScope()
         self._wall_clock = wall_clock
 
     def stop(self) -> None:
-        """Ask for a graceful stop."""
+        """Request a graceful stop."""
         self.stopping.set()
 
     async def run(self) -> None:
-        """Serve until the stop, and finish what is open by then."""
+        """Serve until the stop, then finish or hand over open requests."""
         listener = listen(self.settings.host, self.settings.port)
         self.address = _address_of(listener)
         app = SwitchedApp(current=build_starting_app(self._why_not_ready))
@@ -78,7 +83,7 @@
             anyio.create_task_group() as tasks,
         ):
             tasks.start_soon(self._run_parts, platform, tasks, app)
-            tasks.start_soon(self._wait_for_reclaim, platform)
+            tasks.start_soon(self._stop_on_reclaim, platform)
             await serve_http(
                 app,
                 listener,
@@ -101,9 +106,9 @@
             tasks.start_soon(self._stop_early, starting)
             await self._start_control(tasks, control)
             control.membership.become_ready()
-            # Only now is the incarnation final, which rows in the table
-            # carry: one that changed later would make this daemon's own
-            # calls and records look like those of a dead one.
+            # Table rows carry the incarnation, which is final only from
+            # here on. If it changed later, this daemon's own calls and
+            # records would look like those of a dead incarnation.
             parts = self._build_parts(platform, control, tasks)
             app.current = self._build_app(parts)
             await self._start_serving(tasks, parts)
@@ -189,20 +194,20 @@
             drain=self.stop,
         )
 
-    async def _wait_for_reclaim(self, platform: Platform) -> None:
-        left_s = await wait_for_notice(platform.cloud, self.settings.vm)
-        self._gone_at = anyio.current_time() + left_s
+    async def _stop_on_reclaim(self, platform: Platform) -> None:
+        notice_s = await wait_for_notice(platform.cloud, self.settings.vm)
+        self._reclaim_at = anyio.current_time() + notice_s
         self.stopping.set()
-        # A stop that is under way without a limit starts over with one.
+        # Restart a running stop without a deadline, with the deadline.
         self._stop_scope.cancel()
 
     async def _stop_when_superseded(self, control: ControlParts) -> None:
-        """Stop when a newer process runs under this daemon's name."""
+        """Stop when a newer process uses this daemon's name."""
         await control.membership.superseded.wait()
         self.stopping.set()
 
     async def _stop_early(self, starting: anyio.CancelScope) -> None:
-        """Give up a start that has not come to its end."""
+        """Abort the start-up if a stop is requested before it completes."""
         await self.stopping.wait()
         if not self.started.is_set():
             starting.cancel()
@@ -214,7 +219,7 @@
         )
         while not self._closed.is_set():
             with anyio.CancelScope() as self._stop_scope:
-                await sequence.run(self._gone_at)
+                await sequence.run(self._reclaim_at)
                 self._closed.set()
 
     def _why_not_ready(self) -> str | None:
@@ -231,7 +236,7 @@
 
 
 def build_daemon(settings: Settings) -> Daemon:
-    """Return a daemon over the platform that its settings name."""
+    """Return a daemon with these settings."""
     return Daemon(settings=settings)
 
 
--- a/packages/mimosamux-daemon/mimosamux_daemon/planning_parts.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/planning_parts.py
@@ -1,4 +1,4 @@
-"""The planning parts of a daemon, put together over its ports."""
+"""Composition root of the planning of endpoint VMs at one daemon."""
 
 import random
 from collections.abc import Callable, Mapping, Sequence
@@ -25,7 +25,7 @@
 
 @dataclass(kw_only=True)
 class PlanningParts:
-    """What one daemon knows of planning, and its planner if it has one."""
+    """Planning view of a daemon, and its planner if it plans VMs."""
 
     planning_view: PlanningView
     planner: Planner | None
@@ -34,7 +34,7 @@
 def build_planning_view(
     settings: Settings, control: ControlParts
 ) -> PlanningView:
-    """Return what this daemon knows of planning, empty at first."""
+    """Return an empty planning view for this daemon."""
     return PlanningView(
         data_centre=settings.data_centre,
         meter=DemandMeter(),
@@ -52,7 +52,10 @@
     planning_view: PlanningView,
     wall_clock: Callable[[], float],
 ) -> PlanningParts:
-    """Return the planner that waits for its data centre's lease."""
+    """Build the planner, if the settings let this daemon plan VMs.
+
+    The planner stays idle until it acquires the lease of its data centre.
+    """
     if not settings.plans_vms:
         return PlanningParts(planning_view=planning_view, planner=None)
     membership = control.membership
--- a/packages/mimosamux-daemon/mimosamux_daemon/serving_parts.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/serving_parts.py
@@ -1,4 +1,4 @@
-"""The serving parts of a daemon, put together over its ports."""
+"""Composition root of the serving plane of one daemon."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
@@ -50,7 +50,7 @@
 
 @dataclass(kw_only=True)
 class ServingParts:
-    """From an offered request to its answer, at one daemon."""
+    """Components that take a request from admission to its answer."""
 
     fleet: Fleet
     prices: PriceBook
@@ -66,7 +66,7 @@
     ownership: Ownership
 
     def start(self, tasks: anyio.abc.TaskGroup) -> None:
-        """Start everything that runs in the background."""
+        """Start the background tasks of the components."""
         tasks.start_soon(self.side_effects.run)
         tasks.start_soon(self.journal.run)
         tasks.start_soon(self.claims.run)
@@ -84,7 +84,10 @@
     wall_clock: Callable[[], float],
     tasks: anyio.abc.TaskGroup,
 ) -> ServingParts:
-    """Return the serving parts; requests run as tasks of `tasks`."""
+    """Build the serving components on the ports of `platform`.
+
+    Requests run as tasks of `tasks`.
+    """
     membership = control.membership
     fleet = control.fleet
     prices = control.prices
@@ -139,7 +142,7 @@
                 services=CountedServices(
                     services=platform.services, fleet=fleet
                 ),
-                choose=_chooser(router),
+                choose=_service_chooser(router),
                 budget=RetryBudget(),
             ),
             admission=admission,
@@ -151,7 +154,7 @@
             journal=journal,
             table=journal_table,
             membership=membership,
-            resume_request=_go_on_with(models, control),
+            resume_request=_build_resume_request(models, control),
         ),
         handover=Handover(
             serving=models,
@@ -168,7 +171,7 @@
             peers=control.peers,
             peer_ids=membership.local_peers,
             is_poller=membership.is_poller,
-            data_centres=_named(settings.endpoint_data_centres),
+            data_centres=_fixed_list(settings.endpoint_data_centres),
             configuration=lambda: control.in_force.current,
             metrics=metrics,
         ),
@@ -188,7 +191,7 @@
     )
 
 
-def _named(
+def _fixed_list(
     data_centres: tuple[DataCentreName, ...],
 ) -> Callable[[], tuple[DataCentreName, ...]] | None:
     return (lambda: data_centres) if data_centres else None
@@ -209,7 +212,7 @@
             guard=control.guard, objects=platform.objects
         ),
         services=CountedServices(services=platform.services, fleet=fleet),
-        choose=_chooser(router),
+        choose=_service_chooser(router),
         liveness=control.liveness,
         daemon=settings.daemon,
         incarnation=control.membership.incarnation,
@@ -218,7 +221,7 @@
     )
 
 
-def _chooser(
+def _service_chooser(
     router: Router,
 ) -> Callable[[ServiceName, frozenset[EndpointId]], Endpoint | Refused]:
     def choose(
@@ -229,22 +232,22 @@
     return choose
 
 
-def _go_on_with(
+def _build_resume_request(
     models: ModelServing, control: ControlParts
 ) -> Callable[[ModelRequest], Awaitable[None]]:
-    async def go_on(request: ModelRequest) -> None:
-        taken = await models.take_over(
+    async def resume_request(request: ModelRequest) -> None:
+        result = await models.take_over(
             HandedOverRequest(request=request), control.in_force.current
         )
-        if isinstance(taken, Refused):
+        if isinstance(result, Refused):
             log.warning(
                 'claim_not_served',
                 request=request.id,
                 account=request.account,
-                reason=taken.reason,
+                reason=result.reason,
             )
 
-    return go_on
+    return resume_request
 
 
 def _count_daemons(control: ControlParts) -> int:
--- a/packages/mimosamux-daemon/mimosamux_daemon/settings.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/settings.py
@@ -1,4 +1,4 @@
-"""Settings of one daemon, read from YAML and checked at the border."""
+"""Settings of one daemon, parsed from YAML and validated."""
 
 import pathlib
 from dataclasses import dataclass
@@ -16,14 +16,17 @@
 
 
 class PeerModel(_Strict):
-    """A daemon that this one knows from the start."""
+    """A seed peer: daemon whose address is configured."""
 
     id: str = pydantic.Field(min_length=1, max_length=64)
     address: str = pydantic.Field(pattern=r'^[^\s:]+:\d{1,5}$')
 
 
 class TLSModel(_Strict):
-    """Files of a certificate; they are read again when they change."""
+    """Files of a TLS certificate, reloaded when they change.
+
+    `authority` is the certificate authority that peers are checked with.
+    """
 
     certificate: pathlib.Path
     key: pathlib.Path
@@ -31,7 +34,7 @@
 
 
 class SettingsModel(_Strict):
-    """The settings file."""
+    """Schema of the settings file; times are in seconds."""
 
     daemon: str = pydantic.Field(min_length=1, max_length=64)
     data_centre: str = pydantic.Field(min_length=1, max_length=64)
@@ -42,7 +45,8 @@
     peer_address: str = pydantic.Field(
         default='', pattern=r'^([^\s:]+:\d{1,5})?$'
     )
-    """Where other daemons reach this one, if not where it listens."""
+    """`host:port` at which peers reach this daemon; default: where it
+    listens."""
     peers: tuple[PeerModel, ...] = ()
     peer_secret: str = ''
     peer_tls: TLSModel | None = None
@@ -51,22 +55,24 @@
     embedded: bool = False
     """Run an in-memory platform and an emulated engine in the process."""
     vm: str = ''
-    """VM that the daemon runs on, as the cloud names it."""
+    """Cloud's name of the VM that the daemon runs on; default: `daemon`."""
     plans_vms: bool | None = None
-    """Whether to start and stop endpoint VMs; default: unless embedded."""
+    """Whether to start and stop endpoint VMs; default: not `embedded`."""
     endpoint_data_centres: tuple[str, ...] = ()
-    """Data centres whose endpoints this daemon uses; none: every one."""
+    """Data centres whose endpoints this daemon uses; if empty, all."""
     operator_tokens: dict[str, str] = pydantic.Field(default_factory=dict)
-    """Role (`read` or `write`) by SHA-256 digest of the token."""
+    """Role (`read` or `write`) by SHA-256 digest of the operator token."""
     address_ttl_s: float = pydantic.Field(default=30.0, gt=0)
+    """How long callers may use an answer to an address request."""
     stop_grace_s: float = pydantic.Field(default=60.0, ge=0)
+    """How long a stop waits for open requests before the handover."""
     configuration: dict[str, object] | None = None
-    """First configuration, proposed when the platform has none."""
+    """Initial configuration, proposed if the platform stores none."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class PeerAddress:
-    """Where a peer's thrift link listens."""
+    """Address at which a peer's Thrift link listens."""
 
     id: DaemonId
     address: str
@@ -74,7 +80,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class TLSFiles:
-    """Paths of a certificate, its key and the authority to check with."""
+    """Paths of a certificate, its key and the certificate authority."""
 
     certificate: pathlib.Path
     key: pathlib.Path
@@ -83,7 +89,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Settings:
-    """Settings of one daemon; times are seconds."""
+    """Validated settings of one daemon; times are in seconds."""
 
     daemon: DaemonId
     data_centre: DataCentreName
@@ -108,7 +114,10 @@
 
 
 def parse_settings(text: str) -> Settings:
-    """Return checked settings; `InvalidSettings` names a wrong field."""
+    """Return validated settings.
+
+    `InvalidSettings` names the first invalid field.
+    """
     try:
         model = SettingsModel.model_validate(yaml.safe_load(text))
     except yaml.YAMLError as error:
--- a/packages/mimosamux-daemon/mimosamux_daemon/stopping.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/stopping.py
@@ -1,4 +1,7 @@
-"""How a daemon stops: without cutting off any request."""
+"""Graceful stop of a daemon: open requests end here or at a peer.
+
+A daemon stops on request or when the platform reclaims its VM.
+"""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
@@ -15,106 +18,119 @@
 POLL_S = 0.1
 NOTICE_POLL_S = 1.0
 NOTICE_TIMEOUT_S = 2.0
-LAST_SECONDS = 1.5
-"""What is kept of a reclaim notice for closing connections."""
+CLOSE_RESERVE_S = 1.5
+"""Part of the notice period reserved for closing connections, in s."""
 HAND_OVER_S = 3.0
-"""Time that handing over takes; it has to end within the notice."""
+"""Time limit of a handover; it has to end within the notice period."""
 
 HandOver = Callable[[float], Awaitable[None]]
-"""Hands what is open to peers, within so many seconds."""
+"""Hands open requests to peers, within the given number of seconds."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class StopParts:
-    """What the stop needs of the daemon."""
+    """Callbacks into the daemon that the stop sequence uses."""
 
     leave: Callable[[], Awaitable[None]]
-    """Tells the peers, so that no new address answer leads here."""
+    """Announces the departure: peers omit this daemon from new answers to
+    address requests."""
     has_peers: Callable[[], bool]
-    """Whether other daemons are ready to take over."""
+    """Whether other daemons are ready to take over requests."""
     drained_at: Callable[[], float | None]
-    """When no older address answer leads here any more."""
+    """Time at which the last address answer that names this daemon expires,
+    by `anyio.current_time`; None if the daemon is not leaving."""
     open_requests: Callable[[], int]
+    """Number of accepted requests that have not ended at this daemon."""
     hand_over: HandOver
     drain_side_effects: Callable[[], Awaitable[None]]
+    """Waits until the running side effects have ended."""
 
 
 class StopSequence:
-    """Stops in order: leave, serve on, finish, hand over, drain."""
+    """Runs the phases of a stop in order.
+
+    The daemon leaves the membership, serves until address answers that name
+    it have expired, waits for open requests, hands over the remaining ones
+    and drains side effects.
+    """
 
     def __init__(self, *, parts: StopParts, grace_s: float) -> None:
         self._parts = parts
         self._grace_s = grace_s
 
-    async def run(self, last: float | None = None) -> None:
-        """Return when nothing is open here any more.
+    async def run(self, reclaim_at: float | None = None) -> None:
+        """Return when no request or side effect is open, or at `reclaim_at`.
 
-        `last` is when a reclaimed VM is gone, by `anyio.current_time`; a
-        planned stop has no such limit and takes the time it needs.
+        `reclaim_at` is the time at which the platform reclaims the VM, by
+        `anyio.current_time`; a planned stop has no such deadline.
         """
-        log.info('leaving', is_reclaimed=last is not None)
+        log.info('leaving', is_reclaimed=reclaim_at is not None)
         await self._parts.leave()
-        await self._serve_on(last)
-        await self._finish(last)
-        await self._hand_over(last)
-        await self._drain(last)
-
-    async def _serve_on(self, last: float | None) -> None:
-        """Serve callers whose address answer still leads here."""
-        until = self._parts.drained_at()
-        if until is None or not self._parts.has_peers():
+        await self._serve_until_drained(reclaim_at)
+        await self._await_open_requests(reclaim_at)
+        await self._hand_over(reclaim_at)
+        await self._drain(reclaim_at)
+
+    async def _serve_until_drained(self, reclaim_at: float | None) -> None:
+        """Serve callers whose address answer names this daemon."""
+        deadline = self._parts.drained_at()
+        if deadline is None or not self._parts.has_peers():
             return
-        if last is not None:
-            until = min(until, last - HAND_OVER_S - LAST_SECONDS)
-        await anyio.sleep_until(until)
-
-    async def _finish(self, last: float | None) -> None:
-        """Wait for open requests to end by themselves."""
-        until = anyio.current_time() + self._grace_s
-        if last is not None:
-            until = min(until, last - HAND_OVER_S - LAST_SECONDS)
-        with anyio.CancelScope(deadline=until):
+        if reclaim_at is not None:
+            deadline = min(
+                deadline, reclaim_at - HAND_OVER_S - CLOSE_RESERVE_S
+            )
+        await anyio.sleep_until(deadline)
+
+    async def _await_open_requests(self, reclaim_at: float | None) -> None:
+        """Wait up to the grace period for open requests to end."""
+        deadline = anyio.current_time() + self._grace_s
+        if reclaim_at is not None:
+            deadline = min(
+                deadline, reclaim_at - HAND_OVER_S - CLOSE_RESERVE_S
+            )
+        with anyio.CancelScope(deadline=deadline):
             await self._wait_until_idle()
 
-    async def _hand_over(self, last: float | None) -> None:
-        """Hand the rest to peers; without any, serve it to its end.
+    async def _hand_over(self, reclaim_at: float | None) -> None:
+        """Hand open requests to peers; without peers, serve them to the end.
 
-        A peer that refuses or dies leaves requests here, so it is tried
-        again until nothing is open.
+        Requests stay open at this daemon if a peer refuses them or dies, so
+        the handover is retried until none is open.
         """
         while self._parts.open_requests():
-            if last is not None and anyio.current_time() >= last:
+            if reclaim_at is not None and anyio.current_time() >= reclaim_at:
                 log.warning('cut_off', requests=self._parts.open_requests())
                 return
             if self._parts.has_peers():
-                # Cut short, it would leave requests that neither go on
-                # here nor at a peer.
+                # A cancelled handover would leave requests that continue
+                # neither at this daemon nor at a peer.
                 with anyio.CancelScope(shield=True):
                     await self._parts.hand_over(HAND_OVER_S)
             await anyio.sleep(POLL_S)
 
-    async def _drain(self, last: float | None) -> None:
-        """Let side effects end, as nobody else may run them."""
-        until = float('inf') if last is None else last
-        with anyio.CancelScope(deadline=until):
+    async def _drain(self, reclaim_at: float | None) -> None:
+        """Wait for side effects to end, as no other daemon may run them."""
+        deadline = float('inf') if reclaim_at is None else reclaim_at
+        with anyio.CancelScope(deadline=deadline):
             await self._parts.drain_side_effects()
 
     async def _wait_until_idle(self) -> None:
-        # Requests end in several parts, which share no event.
+        # Requests end in several components, which share no event.
         while self._parts.open_requests():  # noqa: ASYNC110
             await anyio.sleep(POLL_S)
 
 
 async def wait_for_notice(cloud: Cloud, vm: VMId) -> float:
-    """Return the seconds left once the platform takes this VM back."""
+    """Wait for a reclaim notice for `vm` and return its seconds left."""
     while True:
         await anyio.sleep(NOTICE_POLL_S)
-        seconds_left = await _find_notice(cloud, vm)
+        seconds_left = await _poll_notice(cloud, vm)
         if seconds_left is not None:
             return seconds_left
 
 
-async def _find_notice(cloud: Cloud, vm: VMId) -> float | None:
+async def _poll_notice(cloud: Cloud, vm: VMId) -> float | None:
     with anyio.move_on_after(NOTICE_TIMEOUT_S):
         notices = await cloud.list_notices()
         if isinstance(notices, Unavailable):
