--- a/packages/mimosamux-daemon/mimosamux_daemon/adapters/http1_exchange.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/adapters/http1_exchange.py
@@ -24,13 +24,13 @@
     is_caller_gone: bool = False
     _scopes: list[anyio.CancelScope] = field(default_factory=list)
 
-    def cancel_when_gone(self, scope: anyio.CancelScope) -> None:
+    def cancel_on_disconnect(self, scope: anyio.CancelScope) -> None:
         """Have a scope cancelled once the caller is gone."""
         self._scopes.append(scope)
         if self.is_caller_gone:
             scope.cancel()
 
-    def has_left(self) -> bool:
+    def has_disconnected(self) -> bool:
         """Whether the caller is gone, as its connection tells right now.
 
         A connection that waited to be accepted may bring its request and
--- a/packages/mimosamux-daemon/mimosamux_daemon/domain/gateway.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/domain/gateway.py
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class PromptPart:
-    """A segment of a prompt; requests that share it send the same id."""
+    """A part of a prompt; requests that share it declare the same id."""
 
     id: str
     tokens: int
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class PromptInfo:
-    """Token counts and prompt segments that a request declares."""
+    """Token counts and prompt parts that a request declares."""
 
     model: str = ''
     prompt_tokens: int = 0
@@ -35,7 +35,7 @@
     Its median is right, but single estimates are often far off.
     """
     parts: tuple[PromptPart, ...] = ()
-    """Segments in order; the last is unique to the request or session."""
+    """Parts in order; the last is unique to the request or session."""
 
     @property
     def tokens(self) -> int:
@@ -64,6 +64,7 @@
     host: str
     received_at: float
     key: str | None = None
+    """API key of the caller; None: not exactly one was sent."""
     caller_timeout_s: float | None = None
     """Time for which the caller waits; None: not stated."""
     prompt: PromptInfo | None = None
@@ -94,6 +95,7 @@
     warm_up_left_s: float = 0.0
     """Rest of the warm-up time, during which the endpoint is slow."""
     software: str = ''
+    """Version of the endpoint's software."""
     incarnation: int = 0
     """Identifies one run of the endpoint's process under this id.
 
--- a/packages/mimosamux-daemon/mimosamux_daemon/domain/http_messages.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/domain/http_messages.py
@@ -45,12 +45,12 @@
 
 
 def find_values(headers: RawHeaders, name: bytes) -> list[bytes]:
-    """Return the values of all headers called `name`, in lower case."""
+    """Return the values of all headers `name`, given in lower case."""
     return [value for key, value in headers if key.lower() == name]
 
 
 def find_value(headers: RawHeaders, name: bytes) -> bytes | None:
-    """Return the first value of a header, or None; `name` in lower case."""
+    """Return the first value of header `name`, given in lower case."""
     for key, value in headers:
         if key.lower() == name:
             return value
--- a/packages/mimosamux-daemon/mimosamux_daemon/domain/rollouts.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/domain/rollouts.py
@@ -46,8 +46,11 @@
     """Increases with each change of the stage."""
     began_at: float
     """Time at which the order was first seen, in seconds of store time."""
-    held_back: tuple[str, ...] = ()
-    """Versions of earlier orders that were not approved."""
+    unapproved_versions: tuple[str, ...] = ()
+    """Versions of earlier orders that were not approved.
+
+    Written as `held_back` to rows and messages.
+    """
     reason: str = ''
 
     @property
@@ -65,7 +68,7 @@
         return replace(self, stage=stage, step=self.step + 1, reason=reason)
 
     def unproven_versions(self) -> Collection[str]:
-        """Return the versions that are rejected or still under trial."""
+        """Return the versions that are not approved, or not yet."""
         if self.stage in (RolloutStage.TRIAL, RolloutStage.REVERTED):
-            return {*self.held_back, self.order.version}
-        return set(self.held_back) - {self.order.version}
+            return {*self.unapproved_versions, self.order.version}
+        return set(self.unapproved_versions) - {self.order.version}
--- a/packages/mimosamux-daemon/mimosamux_daemon/domain/routes.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/domain/routes.py
@@ -54,7 +54,7 @@
     is_resumable: bool = False
     """Whether a stream may continue at another endpoint."""
     has_prompt: bool = False
-    """Whether requests declare the segments of their prompt."""
+    """Whether requests declare the parts of their prompt."""
 
     @property
     def may_repeat(self) -> bool:
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/forwarding.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/forwarding.py
@@ -103,7 +103,7 @@
             # A caller that disconnects while its request waits for a usage
             # cap is not admitted afterwards: a request that may not be
             # repeated would run with nobody to receive its answer.
-            caller.cancel_when_gone(waiting)
+            caller.cancel_on_disconnect(waiting)
             job = await self.admission.admit(request, sink)
         if waiting.cancelled_caught:
             self.outcomes.log_caller_gone(request)
@@ -147,7 +147,7 @@
         with anyio.move_on_after(job.left_s(self.clock())) as timer:
             with anyio.CancelScope() as scope:
                 if job.route.kind is not RouteKind.NON_IDEMPOTENT:
-                    caller.cancel_when_gone(scope)
+                    caller.cancel_on_disconnect(scope)
                 outcome = await self._run(job)
         if timer.cancelled_caught:
             outcome = self._end_at_deadline(job)
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/jobs.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/jobs.py
@@ -89,7 +89,7 @@
 
     def has_caller_left(self) -> bool:
         """Whether the caller has disconnected."""
-        return self.caller is not None and self.caller.has_left()
+        return self.caller is not None and self.caller.has_disconnected()
 
     def left_s(self, now: float) -> float:
         """Return the time left until the request's deadline."""
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/rollout_duty.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/rollout_duty.py
@@ -117,15 +117,17 @@
         self, order: RolloutOrder, previous: Rollout | None, now: float
     ) -> None:
         stage, reason = self._find_first_stage(order)
-        held_back: set[str] = set()
+        unapproved_versions: set[str] = set()
         if previous is not None:
-            held_back = set(previous.unproven_versions()) - {order.version}
+            unapproved_versions = set(previous.unproven_versions()) - {
+                order.version
+            }
         rollout = Rollout(
             order=order,
             stage=stage,
             step=1,
             began_at=now,
-            held_back=tuple(sorted(held_back)),
+            unapproved_versions=tuple(sorted(unapproved_versions)),
             reason=reason,
         )
         await self._write(rollout)
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/rollout_exchange.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/rollout_exchange.py
@@ -70,7 +70,7 @@
         stage=rollout.stage,
         step=rollout.step,
         began_at_ms=int(rollout.began_at * MS_PER_S),
-        held_back=list(rollout.held_back),
+        held_back=list(rollout.unapproved_versions),
         reason=rollout.reason,
         word=sequence,
         share=share,
@@ -94,6 +94,6 @@
         stage=stage,
         step=message.step,
         began_at=message.began_at_ms / MS_PER_S,
-        held_back=tuple(message.held_back),
+        unapproved_versions=tuple(message.held_back),
         reason=message.reason,
     )
--- a/packages/mimosamux-daemon/mimosamux_daemon/gateway/rollout_rows.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/gateway/rollout_rows.py
@@ -124,7 +124,7 @@
             'stage': rollout.stage,
             'step': rollout.step,
             'began_at': rollout.began_at,
-            'held_back': list(rollout.held_back),
+            'held_back': list(rollout.unapproved_versions),
             'reason': rollout.reason,
         }
     )
@@ -144,7 +144,7 @@
             stage=RolloutStage(fields['stage']),
             step=int(fields['step']),
             began_at=float(fields['began_at']),
-            held_back=tuple(map(str, fields['held_back'])),
+            unapproved_versions=tuple(map(str, fields['held_back'])),
             reason=str(fields['reason']),
         )
     except (ValueError, TypeError, KeyError) as error:
--- a/packages/mimosamux-daemon/mimosamux_daemon/ports/callers.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/ports/callers.py
@@ -10,10 +10,10 @@
 class Caller(Protocol):
     """The client that waits for an answer."""
 
-    def cancel_when_gone(self, scope: anyio.CancelScope) -> None:
+    def cancel_on_disconnect(self, scope: anyio.CancelScope) -> None:
         """Cancel a scope as soon as the caller disconnects."""
 
-    def has_left(self) -> bool:
+    def has_disconnected(self) -> bool:
         """Return whether the caller's connection has ended by now."""
 
 
--- a/packages/mimosamux-standins/mimosamux_standins/site/replica.py
+++ b/packages/mimosamux-standins/mimosamux_standins/site/replica.py
@@ -210,7 +210,7 @@
             await reply.answer(400 if not id_ else 503, self._shed_headers())
             return
         with anyio.CancelScope() as scope:
-            incoming.cancel_when_gone(scope)
+            incoming.cancel_on_disconnect(scope)
             async with self._slot():
                 await self._run(incoming, reply, id_)
 
