--- a/packages/mimosamux-daemon/mimosamux_daemon/__main__.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/__main__.py
@@ -1,4 +1,4 @@
-"""Starts the program `mimosamuxd`."""
+"""Entry point of the program `mimosamuxd`."""
 
 import sys
 
@@ -7,7 +7,7 @@
 
 
 def program() -> None:
-    """Run with the arguments of the command line."""
+    """Run the program with the command-line arguments, then exit."""
     sys.exit(main(sys.argv[1:], Environment()))
 
 
--- a/packages/mimosamux-daemon/mimosamux_daemon/adapters/http_engine_streams.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/adapters/http_engine_streams.py
@@ -19,7 +19,7 @@
     TokenFrame,
 )
 from mimosamux_daemon.domain.vms import Endpoint
-from mimosamux_daemon.errors import InvariantBroken
+from mimosamux_daemon.errors import InvariantViolation
 from mimosamux_daemon.pace import Pace
 
 FINISH_TIMEOUT_S = 0.1
@@ -68,7 +68,7 @@
 def as_byte_stream(response: httpx.Response) -> httpx.AsyncByteStream:
     """Return the body of a response as it comes."""
     if not isinstance(response.stream, httpx.AsyncByteStream):
-        raise InvariantBroken('a response without an asynchronous body')
+        raise InvariantViolation('a response without an asynchronous body')
     return response.stream
 
 
--- a/packages/mimosamux-daemon/mimosamux_daemon/adapters/memory_peers.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/adapters/memory_peers.py
@@ -18,7 +18,7 @@
 )
 
 from mimosamux_daemon.domain.names import DaemonId
-from mimosamux_daemon.errors import InvariantBroken
+from mimosamux_daemon.errors import InvariantViolation
 from mimosamux_daemon.ports.peer import Handler, MessageT, PeerUnavailable
 
 WAKING_S = 0.05
@@ -207,5 +207,5 @@
 def _copy(data: bytes) -> Message:
     envelope = decode(data)
     if not isinstance(envelope, Envelope) or envelope.message is None:
-        raise InvariantBroken(f'cannot read what was encoded: {envelope}')
+        raise InvariantViolation(f'cannot read what was encoded: {envelope}')
     return envelope.message
--- a/packages/mimosamux-daemon/mimosamux_daemon/adapters/tcp_network.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/adapters/tcp_network.py
@@ -8,7 +8,7 @@
 import anyio
 import anyio.abc
 
-from mimosamux_daemon.early_listeners import SocketsByAddress, open_listening
+from mimosamux_daemon.early_listeners import SocketsByAddress, open_listener
 from mimosamux_daemon.logs import get_log
 from mimosamux_daemon.ports.network import Connection, ConnectionHandler
 
@@ -146,7 +146,7 @@
         """Take connections to an address; port 0 takes a free one."""
         listening = self._opened.pop(address, None)
         if listening is None:
-            listening = open_listening(*split_address(address))
+            listening = open_listener(*split_address(address))
         return TcpListener(listening=listening)
 
 
--- a/packages/mimosamux-daemon/mimosamux_daemon/api/app.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/api/app.py
@@ -20,7 +20,7 @@
 from mimosamux_daemon.metrics import Metrics
 from mimosamux_daemon.parts import DaemonParts
 from mimosamux_daemon.settings import Settings
-from mimosamux_daemon.status_parts import StatusParts
+from mimosamux_daemon.status_report import StatusReport
 
 STARTING_RETRY_S = 1.0
 ALL_METHODS = ['GET', 'POST', 'PUT', 'PATCH', 'DELETE', 'HEAD', 'OPTIONS']
@@ -100,7 +100,7 @@
 ) -> OperatorRoutes:
     """Return the routes for operators."""
     control = parts.control
-    status = StatusParts(
+    status = StatusReport(
         serving=parts.serving,
         planning=parts.planning,
         first_tokens=parts.serving.models.first_tokens,
--- a/packages/mimosamux-daemon/mimosamux_daemon/context.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/context.py
@@ -1,4 +1,4 @@
-"""The environment of a program: streams, variables, time for people."""
+"""Process environment of a program: streams, variables and clocks."""
 
 import os
 import sys
@@ -22,7 +22,7 @@
 
 @dataclass(kw_only=True, slots=True)
 class Environment:
-    """What a program meets outside itself; tests pass their own."""
+    """Everything that a program takes from its process; tests replace it."""
 
     stdout: TextIO = field(default_factory=_stdout)
     stderr: TextIO = field(default_factory=_stderr)
@@ -30,6 +30,6 @@
     """Path with which the program was started."""
     variables: Mapping[str, str] = field(default_factory=_variables)
     wall_clock: Callable[[], float] = time.time
-    """Seconds since 1970, for people; decisions use anyio's clock."""
+    """Unix time in seconds, for display; decisions use anyio's clock."""
     sleep: Callable[[float], None] = time.sleep
-    """Waits of the command line between two tries, in seconds."""
+    """Sleep that the command line uses between retries, in seconds."""
--- a/packages/mimosamux-daemon/mimosamux_daemon/control/configuration_acceptor.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/control/configuration_acceptor.py
@@ -39,7 +39,7 @@
 )
 from mimosamux_daemon.domain.audit import AuditEntry, AuditKind
 from mimosamux_daemon.domain.store import Committed, Conflict, Unavailable
-from mimosamux_daemon.errors import InvariantBroken
+from mimosamux_daemon.errors import InvariantViolation
 from mimosamux_daemon.logs import get_log
 
 log = get_log('configuration')
@@ -116,7 +116,7 @@
                     batch = self._pending[:MAX_BATCH]
                     del self._pending[:MAX_BATCH]
                     if not batch:
-                        raise InvariantBroken(
+                        raise InvariantViolation(
                             'a pending proposal was left undecided'
                         )
                     await self._decide(batch)
--- a/packages/mimosamux-daemon/mimosamux_daemon/control_parts.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/control_parts.py
@@ -29,7 +29,7 @@
     GuardedTable,
     StoreGuard,
 )
-from mimosamux_daemon.link_settings import security_of
+from mimosamux_daemon.link_settings import build_link_security
 from mimosamux_daemon.logs import get_log
 from mimosamux_daemon.metrics import Metrics
 from mimosamux_daemon.platform import Platform
@@ -109,7 +109,7 @@
         daemon=settings.daemon,
         host=settings.host,
         port=settings.peer_port,
-        security=security_of(settings),
+        security=build_link_security(settings),
         metrics=metrics,
     )
     seeds = PlatformSeeds(
--- a/packages/mimosamux-daemon/mimosamux_daemon/core.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/core.py
@@ -13,7 +13,10 @@
 import yaml
 
 from mimosamux_daemon.context import Environment
-from mimosamux_daemon.early_listeners import SocketsByAddress, open_early
+from mimosamux_daemon.early_listeners import (
+    SocketsByAddress,
+    open_early_listeners,
+)
 from mimosamux_daemon.errors import InvalidInput
 from mimosamux_daemon.status import ExitStatus
 
@@ -67,7 +70,7 @@
     def serve(self, settings: str) -> None:
         """Run a daemon with the settings file until SIGTERM or Ctrl-C."""
         fields = read_fields(settings)
-        listening = open_early(find_early_addresses(fields))
+        listening = open_early_listeners(find_early_addresses(fields))
         load_program(fields).serve(settings, self._env, listening)
 
     def check(self, settings: str) -> None:
--- a/packages/mimosamux-daemon/mimosamux_daemon/daemon.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/daemon.py
@@ -138,7 +138,7 @@
     async def _start_serving(
         self, tasks: anyio.abc.TaskGroup, parts: DaemonParts
     ) -> None:
-        await parts.serving.keeper.poll_vms()
+        await parts.serving.endpoint_poller.poll_vms()
         parts.serving.start(tasks)
         if parts.planning.planner is not None:
             tasks.start_soon(parts.planning.planner.run)
--- a/packages/mimosamux-daemon/mimosamux_daemon/decoding.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/decoding.py
@@ -1,8 +1,8 @@
-"""Checked decoding of what a gateway reads: settings, tables, answers.
+"""Validated decoding of a gateway's input: settings, tables, answers.
 
-msgspec checks types and bounds as pydantic does, and is loaded in a quarter of
-the time. A gateway that was killed is awaited by callers; with pydantic a
-quarter of its start went into loading that library and building models.
+msgspec checks types and bounds as pydantic does, and loads in a quarter of
+the time. Callers wait while a killed gateway restarts; with pydantic, loading
+the library and building models takes a quarter of the start-up time.
 """
 
 import re
@@ -11,48 +11,57 @@
 import msgspec
 
 from mimosamux_daemon.errors import InvalidConfiguration, InvalidSettings
-from mimosamux_daemon.problems import WHOLE_INPUT, Problem
+from mimosamux_daemon.problems import ROOT_PATH, Problem
 
 ModelT = TypeVar('ModelT')
 
-WHERE = re.compile(r'^(?P<what>.*) - at `\$\.?(?P<path>.*)`$', re.DOTALL)
-NAMED_FIELD = re.compile(r'(?:required|unknown) field `(?P<name>.*)`$')
-INDEX = re.compile(r'\[(\d+|\.\.\.)\]')
+LOCATION_PATTERN = re.compile(
+    r'^(?P<what>.*) - at `\$\.?(?P<path>.*)`$', re.DOTALL
+)
+"""Error text of msgspec: the problem, and the path of the value."""
+FIELD_NAME_PATTERN = re.compile(r'(?:required|unknown) field `(?P<name>.*)`$')
+"""Problem whose field is named in the text instead of the path."""
+INDEX_PATTERN = re.compile(r'\[(\d+|\.\.\.)\]')
+"""Array index in a path; `...` stands for any key of a mapping."""
 
 
 def decode_json(data: bytes, kind: type[ModelT]) -> ModelT:
-    """Return JSON as a model; `InvalidConfiguration` names a wrong field."""
+    """Decode JSON to a model.
+
+    `InvalidConfiguration` names the first invalid field.
+    """
     try:
         return msgspec.json.decode(data, type=kind)
     except (msgspec.DecodeError, RecursionError) as error:
-        found = find_problem(error)
+        problem = parse_problem(error)
         raise InvalidConfiguration(
-            path=found.path, problem=found.message
+            path=problem.path, problem=problem.message
         ) from error
 
 
 def convert_settings(fields: object, kind: type[ModelT]) -> ModelT:
-    """Return settings as a model; `InvalidSettings` names a wrong field.
+    """Convert parsed settings to a model.
 
-    YAML has forms of numbers that its reader takes for text, such as 5e3;
-    where a number is wanted they are read as one.
+    `InvalidSettings` names the first invalid field. The conversion accepts
+    numbers in strings, as the YAML parser returns some forms of numbers,
+    such as 5e3, as strings.
     """
     try:
         return msgspec.convert(fields, kind, strict=False)
     except msgspec.ValidationError as error:
-        found = find_problem(error)
+        problem = parse_problem(error)
         raise InvalidSettings(
-            path=found.path, problem=found.message
+            path=problem.path, problem=problem.message
         ) from error
 
 
-def find_problem(error: Exception) -> Problem:
-    """Return the path of the wrong field and what is wrong with it."""
+def parse_problem(error: Exception) -> Problem:
+    """Parse the field's path and the problem from a msgspec error."""
     text = str(error)
-    where = WHERE.match(text)
+    where = LOCATION_PATTERN.match(text)
     path, what = (where['path'], where['what']) if where else ('', text)
-    keys = [key for key in INDEX.sub(r'.\1', path).split('.') if key]
-    named = NAMED_FIELD.search(what)
+    keys = [key for key in INDEX_PATTERN.sub(r'.\1', path).split('.') if key]
+    named = FIELD_NAME_PATTERN.search(what)
     if named is not None:
         keys.append(named['name'])
-    return Problem(path='.'.join(keys) or WHOLE_INPUT, message=what)
+    return Problem(path='.'.join(keys) or ROOT_PATH, message=what)
--- a/packages/mimosamux-daemon/mimosamux_daemon/early_listeners.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/early_listeners.py
@@ -1,44 +1,47 @@
-"""Sockets that listen before the program is loaded.
+"""Listening sockets that open before the program's modules are loaded.
 
-Most of a start goes into loading modules. Callers who connect meanwhile
-would be turned away with a reset; here they wait for what is left of it.
-Only the standard library is used, as everything else takes time to load.
+Most of the start-up time is spent loading modules. Connections attempted
+during that time would be reset; with an early listener they wait in its
+backlog until the program accepts them. This module imports only the standard
+library, as other packages take time to load.
 """
 
 import socket
 from collections.abc import Iterable
 
 BACKLOG = 1024
-"""Connections that may wait to be accepted."""
+"""Maximum number of connections waiting to be accepted."""
 
 SocketsByAddress = dict[str, socket.socket]
+"""Listening sockets by `host:port`."""
 
 
-def open_early(addresses: Iterable[object]) -> SocketsByAddress:
-    """Return a listening socket for each address that can be had.
+def open_early_listeners(addresses: Iterable[object]) -> SocketsByAddress:
+    """Return a listening socket for each address that can be bound.
 
-    The others are left to the listener proper, which says what is wrong.
+    Invalid or unavailable addresses are skipped; the server reports the
+    error when it opens its own listener.
     """
     opened: SocketsByAddress = {}
     for address in addresses:
         if not isinstance(address, str) or address in opened:
             continue
-        listening = _open(address)
+        listening = _try_open(address)
         if listening is not None:
             opened[address] = listening
     return opened
 
 
-def _open(address: str) -> socket.socket | None:
+def _try_open(address: str) -> socket.socket | None:
     host, _, port = address.rpartition(':')
     try:
-        return open_listening(host, int(port))
+        return open_listener(host, int(port))
     except (OSError, ValueError, OverflowError):
         return None
 
 
-def open_listening(host: str, port: int) -> socket.socket:
-    """Return a listening socket that never blocks; raises `OSError`."""
+def open_listener(host: str, port: int) -> socket.socket:
+    """Return a non-blocking listening socket; raises `OSError`."""
     listening = socket.create_server((host, port), backlog=BACKLOG)
     listening.setblocking(False)
     return listening
--- a/packages/mimosamux-daemon/mimosamux_daemon/embedded.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/embedded.py
@@ -1,4 +1,4 @@
-"""The embedded default: everything outside the daemon, in memory."""
+"""Embedded platform: in-memory adapters for a daemon without a cloud."""
 
 from dataclasses import dataclass, field
 
@@ -38,7 +38,7 @@
 
 @dataclass(kw_only=True, slots=True)
 class EmbeddedPlatform:
-    """An in-memory platform with one engine and one service."""
+    """In-memory table, object store, cloud, engines and services."""
 
     table: MemoryTable = field(default_factory=MemoryTable)
     objects: MemoryObjectStore = field(default_factory=MemoryObjectStore)
@@ -51,7 +51,7 @@
 
 
 def embed_platform(data_centre: DataCentreName) -> EmbeddedPlatform:
-    """Return a platform whose engine and service are running."""
+    """Return an embedded platform with one live engine and one service."""
     platform = EmbeddedPlatform()
     platform.cloud.set_price(
         Price(
@@ -61,8 +61,10 @@
             per_hour=PRICE_PER_HOUR,
         )
     )
-    engine = _list_vm(platform, 'engine-1', data_centre, model=EMBEDDED_MODEL)
-    _list_vm(platform, 'service-1', data_centre, service=EMBEDDED_SERVICE)
+    engine = _add_live_vm(
+        platform, 'engine-1', data_centre, model=EMBEDDED_MODEL
+    )
+    _add_live_vm(platform, 'service-1', data_centre, service=EMBEDDED_SERVICE)
     platform.engines.add(
         Endpoint(
             id=EndpointId(engine.id),
@@ -76,7 +78,7 @@
     return platform
 
 
-def _list_vm(
+def _add_live_vm(
     platform: EmbeddedPlatform,
     name: str,
     data_centre: DataCentreName,
--- a/packages/mimosamux-daemon/mimosamux_daemon/errors.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/errors.py
@@ -1,16 +1,19 @@
-"""The exception tree: only broken invariants and bad input raise."""
+"""Exception hierarchy: broken invariants and invalid input.
+
+Expected failures, such as refusals, are return values.
+"""
 
 
 class MimosamuxError(Exception):
     """Base of every exception that this project raises."""
 
 
-class InvariantBroken(MimosamuxError):
-    """The program is wrong about itself; the process has to stop."""
+class InvariantViolation(MimosamuxError):
+    """An invariant of the program is violated; the process has to stop."""
 
 
 class InvalidInput(MimosamuxError):
-    """Input at the border is wrong; `path` names the field."""
+    """Input from outside is invalid; `path` names the field."""
 
     def __init__(self, *, path: str, problem: str) -> None:
         super().__init__(f'{path}: {problem}')
@@ -19,11 +22,11 @@
 
 
 class InvalidSettings(InvalidInput):
-    """The settings file is wrong."""
+    """The settings file is invalid."""
 
 
 class InvalidConfiguration(InvalidInput):
-    """A configuration that an operator offers is wrong."""
+    """A configuration that an operator proposes is invalid."""
 
 
 class InvalidRequest(InvalidInput):
--- a/packages/mimosamux-daemon/mimosamux_daemon/link_settings.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/link_settings.py
@@ -1,4 +1,4 @@
-"""How links between daemons are authenticated, from the settings."""
+"""Authentication of links between daemons, derived from the settings."""
 
 import secrets
 
@@ -9,8 +9,11 @@
 SECRET_BYTES = 32
 
 
-def security_of(settings: Settings) -> LinkSecurity:
-    """Return the security that the settings ask for."""
+def build_link_security(settings: Settings) -> LinkSecurity:
+    """Return the link security for the settings.
+
+    Raises `InvalidSettings` if links to peers would be unauthenticated.
+    """
     if settings.peers and not settings.peer_secret and not settings.peer_tls:
         raise InvalidSettings(
             path='peer_secret',
@@ -21,7 +24,7 @@
             path='peer_tls.authority',
             problem='needed to check the certificates of peers',
         )
-    # Without a secret of its own a lone daemon would take an empty one,
-    # which every process that reaches its port knows as well.
+    # A daemon without peers needs no shared secret. A random one keeps out
+    # other processes that reach its port; an empty one would not.
     secret = settings.peer_secret.encode() or secrets.token_bytes(SECRET_BYTES)
     return LinkSecurity(secret=secret, tls=settings.peer_tls)
--- a/packages/mimosamux-daemon/mimosamux_daemon/logs.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/logs.py
@@ -1,4 +1,7 @@
-"""One line of key=value pairs for each event; a full pipe holds up nobody."""
+"""Structured logs: one line of key=value pairs (logfmt) for each event.
+
+Writing never blocks on a slow reader, and a rate limit bounds the volume.
+"""
 
 import os
 import select
@@ -12,30 +15,32 @@
 import structlog
 
 PIPE_BYTES = 4096
-"""Bytes that a pipe takes at once if it takes any (POSIX's PIPE_BUF)."""
-KEPT_BYTES = 256 * 1024
-"""Bytes of lines that wait while nobody reads; later ones are lost."""
+"""Bytes that a writable pipe accepts without blocking (POSIX PIPE_BUF)."""
+MAX_BUFFER_BYTES = 256 * 1024
+"""Size limit of the buffer for lines that the reader has not accepted.
+
+Further lines are dropped."""
 LINES_PER_S = 200.0
-"""Lines a second that are written in the long run. A line takes about
-50 us, so this is 1% of a core; a daemon that passes on 20 requests a second
-writes 30."""
+"""Sustained rate limit, in lines a second. A line takes about 50 us, so
+this is 1% of a core; a daemon that forwards 20 requests a second writes 30
+lines a second."""
 BURST_LINES = 1000.0
-"""Lines that may be written at once, as at the start of a disturbance."""
+"""Burst size of the rate limit, for example for the start of an outage."""
 
 EventDict = MutableMapping[str, Any]
 
 
 class LineWriter:
-    """A text stream that never waits for its reader.
+    """A text stream whose writes never block on the reader.
 
-    A reader that stands still would otherwise stop the daemon in the middle
-    of a request as soon as the pipe is full: callers would see silence.
+    If the reader of a pipe stalled, a blocking write to the full pipe would
+    stop the daemon in the middle of requests, and callers would get no data.
     """
 
     def __init__(self, *, stream: TextIO) -> None:
         self.lines_lost = 0
         self._stream = stream
-        self._waiting = b''
+        self._buffer = b''
         self._descriptor: int | None = None
         self._poller = select.poll()
         with suppress(OSError, ValueError):
@@ -43,34 +48,34 @@
             self._poller.register(self._descriptor, select.POLLOUT)
 
     def write(self, text: str) -> int:
-        """Write a line, or keep it for later, or lose it."""
+        """Write or buffer a line; drop and count it if the buffer is full."""
         if self._descriptor is None:
             return self._stream.write(text)
         data = text.encode(errors='replace')
-        if len(self._waiting) + len(data) > KEPT_BYTES:
+        if len(self._buffer) + len(data) > MAX_BUFFER_BYTES:
             self.lines_lost += text.count('\n')
         else:
-            self._waiting += data
+            self._buffer += data
         self._drain(self._descriptor)
         return len(text)
 
     def flush(self) -> None:
-        """Write what waits, as far as the reader takes it."""
+        """Write buffered lines as far as the reader accepts them."""
         if self._descriptor is None:
             self._stream.flush()
         else:
             self._drain(self._descriptor)
 
     def _drain(self, descriptor: int) -> None:
-        while self._waiting and self._is_writable():
+        while self._buffer and self._is_writable():
             try:
-                written = os.write(descriptor, self._waiting[:PIPE_BYTES])
+                written = os.write(descriptor, self._buffer[:PIPE_BYTES])
             except OSError:
-                # Nobody will ever read this; the daemon serves on.
-                self.lines_lost += self._waiting.count(b'\n')
-                self._waiting = b''
+                # The reader is gone. Drop the lines and continue to serve.
+                self.lines_lost += self._buffer.count(b'\n')
+                self._buffer = b''
                 return
-            self._waiting = self._waiting[written:]
+            self._buffer = self._buffer[written:]
 
     def _is_writable(self) -> bool:
         return any(
@@ -79,38 +84,40 @@
 
 
 @dataclass(kw_only=True, slots=True)
-class VolumeLimit:
-    """A structlog processor that leaves events out under load.
+class EventRateLimiter:
+    """A structlog processor that limits the rate of events (token bucket).
 
-    What was left out is counted, and told with the next line that is let
-    through. Warnings and errors are never left out.
+    It drops events of level info only; warnings and errors always pass. The
+    field `left_out` of the next event that passes gives the number of
+    dropped events by name.
     """
 
     clock: Callable[[], float] = time.monotonic
     lines_per_s: float = LINES_PER_S
     burst: float = BURST_LINES
-    _allowed: float = BURST_LINES
-    _filled_at: float | None = None
-    _left_out: Counter[str] = field(default_factory=Counter)
+    _tokens: float = BURST_LINES
+    _refilled_at: float | None = None
+    _dropped_counts: Counter[str] = field(default_factory=Counter)
 
     def __call__(
         self, logger: Any, method: str, event_dict: EventDict
     ) -> EventDict:
-        """Let an event through, or leave it out."""
+        """Pass the event on, or raise `DropEvent` over the rate limit."""
         now = self.clock()
-        if self._filled_at is not None:
-            filled = (now - self._filled_at) * self.lines_per_s
-            self._allowed = min(self._allowed + filled, self.burst)
-        self._filled_at = now
-        if method == 'info' and self._allowed < 1:
-            self._left_out[str(event_dict.get('event'))] += 1
+        if self._refilled_at is not None:
+            refill = (now - self._refilled_at) * self.lines_per_s
+            self._tokens = min(self._tokens + refill, self.burst)
+        self._refilled_at = now
+        if method == 'info' and self._tokens < 1:
+            self._dropped_counts[str(event_dict.get('event'))] += 1
             raise structlog.DropEvent
-        self._allowed -= 1
-        if self._left_out:
+        self._tokens -= 1
+        if self._dropped_counts:
             event_dict['left_out'] = ','.join(
-                f'{event}:{count}' for event, count in self._left_out.items()
+                f'{event}:{count}'
+                for event, count in self._dropped_counts.items()
             )
-            self._left_out.clear()
+            self._dropped_counts.clear()
         return event_dict
 
 
@@ -118,7 +125,7 @@
     """Write every event to `stream` as one line of key=value pairs."""
     writer = LineWriter(stream=stream)
 
-    def tell_lost(
+    def add_lines_lost(
         logger: Any, method: str, event_dict: EventDict
     ) -> EventDict:
         if writer.lines_lost:
@@ -128,8 +135,8 @@
 
     structlog.configure(
         processors=[
-            VolumeLimit(),
-            tell_lost,
+            EventRateLimiter(),
+            add_lines_lost,
             structlog.processors.add_log_level,
             structlog.processors.TimeStamper(fmt='iso', key='at'),
             structlog.processors.LogfmtRenderer(
@@ -147,7 +154,7 @@
 
 def get_log(component: str) -> structlog.typing.FilteringBoundLogger:
     """Return the logger of a component."""
-    # Binding here would fix the configuration of this moment, which is
+    # `bind` would freeze the configuration in force at import, which is
     # the default: events would go to stdout until the process ends.
     log: structlog.typing.FilteringBoundLogger = structlog.get_logger(
         component=component
--- a/packages/mimosamux-daemon/mimosamux_daemon/metrics.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of one daemon, rendered for Prometheus."""
+"""Prometheus metrics of one daemon."""
 
 from aioprometheus import Counter, Gauge, Histogram, Registry, render
 
@@ -6,7 +6,7 @@
 
 
 class Metrics:
-    """Every metric of a daemon; label values are passed with each use."""
+    """All metrics of a daemon; callers pass label values with each sample."""
 
     def __init__(self) -> None:
         self._registry = Registry()
@@ -64,7 +64,10 @@
         )
 
     def render(self, accept: list[str]) -> tuple[bytes, dict[str, str]]:
-        """Return the metrics as text, and the HTTP headers for it."""
+        """Return the metrics as an HTTP body and its headers.
+
+        `accept` holds the values of the `Accept` header.
+        """
         content, headers = render(self._registry, accept)
         return content, dict(headers)
 
--- a/packages/mimosamux-daemon/mimosamux_daemon/model_program.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/model_program.py
@@ -1,4 +1,7 @@
-"""Runs a daemon that serves models under its own caller API."""
+"""Program of a daemon that serves models under its own caller API.
+
+`core` calls `check` and `serve`.
+"""
 
 import pathlib
 import signal
@@ -13,15 +16,19 @@
 from mimosamux_daemon.settings import Settings, parse_settings
 
 DEMO_KEY = 'demo-key'
+"""API key in the example commands of an embedded daemon."""
 
 
 def check(path: str) -> None:
-    """Raise `InvalidInput` for a settings file that is wrong."""
+    """Raise `InvalidInput` if the settings file is invalid."""
     read_settings(path)
 
 
 def serve(path: str, env: Environment, listening: SocketsByAddress) -> None:
-    """Run a daemon until SIGTERM or Ctrl-C; nothing listens for it early."""
+    """Run a daemon until SIGTERM or Ctrl-C.
+
+    `listening` is empty: only gateways have early listeners.
+    """
     assert not listening
     settings = read_settings(path)
     configure_logs(env.stderr)
@@ -29,19 +36,21 @@
 
 
 def find_command(env: Environment) -> str:
-    """Return how to start `mimosamux`, as the line has to work as printed.
+    """Return a command that starts `mimosamux`, for a printed example.
 
-    The programs of a virtual environment are not on everybody's path.
+    The example has to work when copied, but the programs of a virtual
+    environment may not be on the reader's PATH. So the command is the
+    path if `mimosamux` is in the same directory as this program.
     """
-    beside = pathlib.Path(env.program).with_name('mimosamux')
-    return str(beside) if beside.exists() else beside.name
+    sibling = pathlib.Path(env.program).with_name('mimosamux')
+    return str(sibling) if sibling.exists() else sibling.name
 
 
 def read_settings(path: str) -> Settings:
-    """Return the settings of a file, its configuration checked as well.
+    """Return the settings of a file and validate its configuration.
 
-    A wrong first configuration would be turned down only after the start,
-    and the daemon would wait for another one, ready for nothing.
+    An invalid initial configuration would otherwise be rejected only after
+    the start, and the daemon would wait for another one without being ready.
     """
     settings = parse_settings(pathlib.Path(path).read_text())
     if settings.configuration is not None:
--- a/packages/mimosamux-daemon/mimosamux_daemon/parts.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/parts.py
@@ -1,4 +1,4 @@
-"""The parts of a running daemon."""
+"""All components of a running daemon."""
 
 from dataclasses import dataclass
 
@@ -9,7 +9,7 @@
 
 @dataclass(kw_only=True)
 class DaemonParts:
-    """Control, serving and planning, as they work on each other."""
+    """Control, serving and planning components of one daemon."""
 
     control: ControlParts
     serving: ServingParts
--- a/packages/mimosamux-daemon/mimosamux_daemon/planning_parts.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/planning_parts.py
@@ -91,7 +91,8 @@
         ),
         planning_view=planning_view,
         drains=FleetDrainer(
-            fleet=serving.fleet, announce=serving.keeper.announce_leaving
+            fleet=serving.fleet,
+            announce=serving.endpoint_poller.announce_leaving,
         ),
         configuration=lambda: control.in_force.current,
         wall_clock=wall_clock,
--- a/packages/mimosamux-daemon/mimosamux_daemon/platform.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/platform.py
@@ -1,4 +1,4 @@
-"""Everything outside a daemon, behind the ports: over HTTP or in memory."""
+"""Adapters of the services that a daemon uses: over HTTP or in memory."""
 
 from collections.abc import AsyncIterator
 from contextlib import AsyncExitStack, aclosing, asynccontextmanager
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Platform:
-    """The ports that a daemon is built over."""
+    """Implementations of the ports through which a daemon reaches them."""
 
     table: Table
     objects: ObjectStore
@@ -37,7 +37,7 @@
 
 @asynccontextmanager
 async def open_platform(settings: Settings) -> AsyncIterator[Platform]:
-    """Give the platform that the settings name, until the block ends."""
+    """Open the platform that the settings name; close it on exit."""
     if settings.platform_url is None:
         yield _embed(settings)
         return
--- a/packages/mimosamux-daemon/mimosamux_daemon/problems.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/problems.py
@@ -1,14 +1,17 @@
-"""What is wrong with input that was turned down at the border."""
+"""Validation problem of rejected input."""
 
 from dataclasses import dataclass
 
-WHOLE_INPUT = '$'
-"""Path of a problem with the input as a whole."""
+ROOT_PATH = '$'
+"""Path of a problem that concerns the input as a whole."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Problem:
-    """The first thing that is wrong, and the path of its field."""
+    """The first validation problem and the path of its field.
+
+    The keys of the path are separated by dots.
+    """
 
     path: str
     message: str
--- a/packages/mimosamux-daemon/mimosamux_daemon/serving/admission.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/serving/admission.py
@@ -19,7 +19,7 @@
 from mimosamux_daemon.domain.names import AccountId, ClassName, RequestId
 from mimosamux_daemon.domain.outcomes import Reason, Refused
 from mimosamux_daemon.domain.work import Account, ModelRequest, ServiceCall
-from mimosamux_daemon.errors import InvariantBroken
+from mimosamux_daemon.errors import InvariantViolation
 from mimosamux_daemon.serving.fair_shares import FairShares
 
 ACCOUNT_BUSY_RETRY_S = 1.0
@@ -87,7 +87,7 @@
         request counts as demand of its account, but not as open.
         """
         if request.id in self._account_by_request:
-            raise InvariantBroken(f'request {request.id} admitted twice')
+            raise InvariantViolation(f'request {request.id} admitted twice')
         self.shares.note_offered(
             account.id,
             share=account.share,
@@ -107,7 +107,7 @@
         """Stop counting a request as open; once for each admitted one."""
         account = self._account_by_request.pop(request, None)
         if account is None:
-            raise InvariantBroken(
+            raise InvariantViolation(
                 f'request {request} released but not admitted'
             )
         self._open_by_account[account] -= 1
--- a/packages/mimosamux-daemon/mimosamux_daemon/serving_parts.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/serving_parts.py
@@ -62,7 +62,7 @@
     claims: JournalClaims
     handover: Handover
     targets: MembershipHandoverTargets
-    keeper: EndpointPoller
+    endpoint_poller: EndpointPoller
     ownership: Ownership
 
     def start(self, tasks: anyio.abc.TaskGroup) -> None:
@@ -70,7 +70,7 @@
         tasks.start_soon(self.side_effects.run)
         tasks.start_soon(self.journal.run)
         tasks.start_soon(self.claims.run)
-        tasks.start_soon(self.keeper.run)
+        tasks.start_soon(self.endpoint_poller.run)
         tasks.start_soon(self.ownership.run)
 
 
@@ -164,7 +164,7 @@
             journal=journal,
         ),
         targets=targets,
-        keeper=EndpointPoller(
+        endpoint_poller=EndpointPoller(
             cloud=platform.cloud,
             fleet=fleet,
             prices=prices,
--- a/packages/mimosamux-daemon/mimosamux_daemon/status.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/status.py
@@ -1,10 +1,10 @@
-"""Exit status of the programs."""
+"""Exit statuses of the command-line programs."""
 
 from enum import IntEnum
 
 
 class ExitStatus(IntEnum):
-    """What the exit status of a process means."""
+    """Exit status of `mimosamuxd` and `mimosamux`."""
 
     SUCCESS = 0
     ERROR = 1
--- a/packages/mimosamux-daemon/mimosamux_daemon/status_parts.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/status_report.py
@@ -1,4 +1,4 @@
-"""What `mimosamux status` shows beside the daemons."""
+"""Endpoint and class rows of `mimosamux status`."""
 
 from collections.abc import Callable, Mapping, Sequence
 from dataclasses import dataclass
@@ -12,8 +12,8 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class StatusParts:
-    """Endpoints and classes as this daemon knows them."""
+class StatusReport:
+    """Builds the status rows from the state of this daemon."""
 
     serving: ServingParts
     planning: PlanningParts
@@ -21,7 +21,7 @@
     configuration: Callable[[], Configuration]
 
     def endpoints(self) -> Sequence[Mapping[str, Any]]:
-        """Return each endpoint, its load and its price an hour."""
+        """Return a row for each endpoint: state, load and price an hour."""
         return [
             {
                 'endpoint': state.endpoint.id,
@@ -38,7 +38,11 @@
         ]
 
     def classes(self) -> Sequence[Mapping[str, Any]]:
-        """Return each class against its target and its ceiling."""
+        """Return a row for each work class.
+
+        It compares the time to the first token with the target, and gives the
+        cost ceiling and the amount an hour missing under it.
+        """
         missing = {
             shortfall.work_class: shortfall.missing_per_hour
             for shortfall in self.planning.planning_view.ceilings.shortfalls
@@ -52,14 +56,14 @@
         self, name: ClassName, missing_per_hour: float | None
     ) -> Mapping[str, Any]:
         work_class = self.configuration().classes[name]
-        seen = self.first_tokens.summary(name)
+        summary = self.first_tokens.summary(name)
         ceiling = work_class.cost_ceiling_per_hour
         return {
             'class': name,
             'target_first_token_s': work_class.first_token_s,
-            'p95_first_token_s': seen.p95_s,
-            'within_target': seen.share_within_target,
-            'answers': seen.count,
+            'p95_first_token_s': summary.p95_s,
+            'within_target': summary.share_within_target,
+            'answers': summary.count,
             'ceiling_per_hour': None if ceiling == float('inf') else ceiling,
             'missing_per_hour': missing_per_hour,
         }
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -7,7 +7,7 @@
 from mimosamux_daemon.domain.names import AccountId, RequestId
 from mimosamux_daemon.domain.outcomes import Reason
 from mimosamux_daemon.domain.work import Account
-from mimosamux_daemon.errors import InvariantBroken
+from mimosamux_daemon.errors import InvariantViolation
 from mimosamux_daemon.serving.admission import Admission, AdmissionPolicy
 from mimosamux_daemon.serving.fair_shares import (
     FairShares,
@@ -42,7 +42,7 @@
             self.assertEqual(admission.open_requests(SMALL.id), 1)
             admission.release(request.id)
             self.assertEqual(admission.open_requests(SMALL.id), 0)
-            with self.assertRaises(InvariantBroken):
+            with self.assertRaises(InvariantViolation):
                 admission.release(request.id)
 
         run_paused(check)
@@ -54,7 +54,7 @@
             refused = admission.acquire(SMALL, late, first_token_s=9.0)
             self.assertIs(refused.reason, Reason.OVERLOADED)
             self.assertGreaterEqual(refused.retry_after_s, 8.0)
-            with self.assertRaises(InvariantBroken):
+            with self.assertRaises(InvariantViolation):
                 admission.release(RequestId(late.id))
 
         run_paused(check)
--- a/tests/test_early_listeners.py
+++ b/tests/test_early_listeners.py
@@ -8,7 +8,7 @@
 import anyio.lowlevel
 from mimosamux_daemon.adapters.tcp_network import TcpListener, TcpNetwork
 from mimosamux_daemon.core import find_early_addresses
-from mimosamux_daemon.early_listeners import open_early
+from mimosamux_daemon.early_listeners import open_early_listeners
 
 
 def free_address():
@@ -52,7 +52,7 @@
 
         async def check():
             address = free_address()
-            opened = open_early([address])
+            opened = open_early_listeners([address])
             network = TcpNetwork(opened=opened)
             caller = await TcpNetwork().connect(address)
             await caller.send(b'early')
@@ -86,7 +86,7 @@
 
         async def check():
             address = free_address()
-            network = TcpNetwork(opened=open_early([address]))
+            network = TcpNetwork(opened=open_early_listeners([address]))
             waiting = [
                 await TcpNetwork().connect(address) for _ in range(callers)
             ]
@@ -118,7 +118,7 @@
 
         async def check():
             address = free_address()
-            opened = open_early([address])
+            opened = open_early_listeners([address])
             listening = Exhausted(opened[address], failures=1)
             caller = await TcpNetwork().connect(address)
             accepted = anyio.Event()
@@ -148,7 +148,7 @@
             other.listen()
             taken = f'127.0.0.1:{other.getsockname()[1]}'
             odd = [taken, 'nowhere', '127.0.0.1:no', '127.0.0.1:99999', None]
-            self.assertEqual(open_early(odd), {})
+            self.assertEqual(open_early_listeners(odd), {})
 
     def test_only_a_gateway_listens_early(self):
         listen = {'entry': '10.0.0.1:80', 'peers': '10.0.0.1:81'}
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -5,7 +5,11 @@
 import unittest
 
 import structlog
-from mimosamux_daemon.logs import KEPT_BYTES, LineWriter, VolumeLimit
+from mimosamux_daemon.logs import (
+    MAX_BUFFER_BYTES,
+    EventRateLimiter,
+    LineWriter,
+)
 
 LINE = 'event=x ' + 'y' * 91 + '\n'
 
@@ -33,7 +37,7 @@
         The daemon would stand still in the middle of a request; it loses
         lines instead, and counts them.
         """
-        written = 3 * KEPT_BYTES // len(LINE)
+        written = 3 * MAX_BUFFER_BYTES // len(LINE)
         for _ in range(written):
             self.writer.write(LINE)
         self.assertGreater(self.writer.lines_lost, 0)
@@ -56,7 +60,7 @@
 class TestVolumeLimit(unittest.TestCase):
     def setUp(self):
         self.now = 0.0
-        self.limit = VolumeLimit(
+        self.limit = EventRateLimiter(
             clock=lambda: self.now, lines_per_s=10.0, burst=20.0
         )
 
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -16,7 +16,7 @@
     open_link,
 )
 from mimosamux_daemon.adapters.thrift_peers import ThriftPeers
-from mimosamux_daemon.link_settings import security_of
+from mimosamux_daemon.link_settings import build_link_security
 from mimosamux_daemon.metrics import Metrics
 from mimosamux_daemon.ports import PeerUnavailable
 from mimosamux_daemon.settings import TLSFiles, parse_settings
@@ -360,7 +360,7 @@
         With an empty one, any process on the network could send this
         daemon a configuration.
         """
-        lone = security_of(parse_settings(EMBEDDED_SETTINGS))
+        lone = build_link_security(parse_settings(EMBEDDED_SETTINGS))
 
         async def check():
             one = make_peers('one', security=lone)
