--- a/packages/mimosamux-daemon/mimosamux_daemon/domain/plan.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/domain/plan.py
@@ -116,6 +116,7 @@
     counts: Mapping[ModelOffer, int] = field(default_factory=dict)
     needs: Mapping[ModelName, ReplicaNeed] = field(default_factory=dict)
     per_hour: float = 0.0
+    """Cost of the planned VMs an hour."""
     ceiling_shortfalls: tuple[CeilingShortfall, ...] = ()
     capacity_shortfalls: tuple[CapacityShortfall, ...] = ()
     weights: Mapping[tuple[ModelName, str], float] = field(
--- a/packages/mimosamux-daemon/mimosamux_daemon/domain/routes.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/domain/routes.py
@@ -41,7 +41,7 @@
     kind: RouteKind
     splits: tuple[TrafficSplit, ...]
     timeout_s: float
-    """Maximum time until the answer."""
+    """Maximum time for which a caller waits for the answer."""
     latency_target_s: float
     """Latency target of the complete answer or a stream's first event."""
     gap_target_s: float | None = None
@@ -79,7 +79,7 @@
     can_move: bool = False
     """Whether running requests can migrate to another engine."""
     can_back_up: bool = False
-    """Whether engines can copy the KV cache of a run to another engine."""
+    """Whether engines keep backup copies of runs at other engines."""
     tokens_per_event: int = 1
     max_cache_watchers: int = 0
     """Maximum number of clients that may wait for an engine's cache events."""
--- a/packages/mimosamux-daemon/mimosamux_daemon/ports/duty_calls.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/ports/duty_calls.py
@@ -39,6 +39,7 @@
     """Number of requests of each account that began in one window."""
 
     window: int
+    """Number of the window: wall-clock time divided by its length."""
     counts: Mapping[AccountId, int]
 
 
@@ -53,7 +54,7 @@
 
 
 class DutyCalls(Protocol):
-    """Calls that carry the fencing token of the holder's lease."""
+    """Usage reports and orders, with the fencing token of the lease."""
 
     async def report_usage(
         self, report: UsageReport, *, fencing: int
--- a/packages/mimosamux-daemon/mimosamux_daemon/ports/run_moves.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/ports/run_moves.py
@@ -26,7 +26,7 @@
     """The run continues at the source; the target holds a copy."""
 
     kv_source: str
-    """Names the copy for the request that goes on from it."""
+    """Identifies the copy for the request that resumes from it."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -34,7 +34,7 @@
     """The run has stopped at the source; its copy is at the target."""
 
     kv_source: str
-    """Names the copy for the request that goes on from it."""
+    """Identifies the copy for the request that resumes from it."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
