--- a/packages/mimosamux-daemon/mimosamux_daemon/control_parts.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/control_parts.py
@@ -41,9 +41,10 @@
 log = get_log('control')
 
 SETTINGS_AUTHOR = 'settings'
+"""Author in the record of an initial configuration from the settings."""
 FULL_LOAD_STREAMS = 200
-"""Open streams at which a daemon reports full load: 250 streams use 0.92
-to 1.0 of a core (`python -m benchmarks relay`)."""
+"""Open streams that a daemon carries well, reported as full load: 250
+streams use 0.92 to 1.0 of a core (`python -m benchmarks relay`)."""
 
 
 @dataclass(kw_only=True)
--- a/packages/mimosamux-daemon/mimosamux_daemon/daemon.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/daemon.py
@@ -29,7 +29,7 @@
 from mimosamux_daemon.serving_parts import build_serving
 from mimosamux_daemon.settings import Settings
 from mimosamux_daemon.stopping import (
-    StopParts,
+    StopCallbacks,
     StopSequence,
     wait_for_notice,
 )
@@ -215,7 +215,8 @@
     async def _stop_in_order(self, parts: DaemonParts) -> None:
         await self.stopping.wait()
         sequence = StopSequence(
-            parts=_as_stop_parts(parts), grace_s=self.settings.stop_grace_s
+            callbacks=_build_stop_callbacks(parts),
+            grace_s=self.settings.stop_grace_s,
         )
         while not self._closed.is_set():
             with anyio.CancelScope() as self._stop_scope:
@@ -240,9 +241,9 @@
     return Daemon(settings=settings)
 
 
-def _as_stop_parts(parts: DaemonParts) -> StopParts:
+def _build_stop_callbacks(parts: DaemonParts) -> StopCallbacks:
     serving = parts.serving
-    return StopParts(
+    return StopCallbacks(
         leave=parts.control.membership.leave,
         has_peers=serving.targets.has_targets,
         drained_at=lambda: parts.control.discovery.drained_at,
--- a/packages/mimosamux-daemon/mimosamux_daemon/model_program.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/model_program.py
@@ -39,7 +39,7 @@
     """Return a command that starts `mimosamux`, for a printed example.
 
     The example has to work when copied, but the programs of a virtual
-    environment may not be on the reader's PATH. So the command is the
+    environment may not be on the reader's PATH. So the command is a
     path if `mimosamux` is in the same directory as this program.
     """
     sibling = pathlib.Path(env.program).with_name('mimosamux')
--- a/packages/mimosamux-daemon/mimosamux_daemon/stopping.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/stopping.py
@@ -15,12 +15,15 @@
 
 log = get_log('stopping')
 
-POLL_S = 0.1
+OPEN_POLL_S = 0.1
+"""Interval between checks for open requests."""
 NOTICE_POLL_S = 1.0
+"""Interval between requests to the cloud for reclaim notices."""
 NOTICE_TIMEOUT_S = 2.0
+"""Time limit of a request for reclaim notices."""
 CLOSE_RESERVE_S = 1.5
 """Part of the notice period reserved for closing connections, in s."""
-HAND_OVER_S = 3.0
+HANDOVER_TIMEOUT_S = 3.0
 """Time limit of a handover; it has to end within the notice period."""
 
 HandOver = Callable[[float], Awaitable[None]]
@@ -28,7 +31,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class StopParts:
+class StopCallbacks:
     """Callbacks into the daemon that the stop sequence uses."""
 
     leave: Callable[[], Awaitable[None]]
@@ -54,8 +57,8 @@
     and drains side effects.
     """
 
-    def __init__(self, *, parts: StopParts, grace_s: float) -> None:
-        self._parts = parts
+    def __init__(self, *, callbacks: StopCallbacks, grace_s: float) -> None:
+        self._callbacks = callbacks
         self._grace_s = grace_s
 
     async def run(self, reclaim_at: float | None = None) -> None:
@@ -65,7 +68,7 @@
         `anyio.current_time`; a planned stop has no such deadline.
         """
         log.info('leaving', is_reclaimed=reclaim_at is not None)
-        await self._parts.leave()
+        await self._callbacks.leave()
         await self._serve_until_drained(reclaim_at)
         await self._await_open_requests(reclaim_at)
         await self._hand_over(reclaim_at)
@@ -73,12 +76,12 @@
 
     async def _serve_until_drained(self, reclaim_at: float | None) -> None:
         """Serve callers whose address answer names this daemon."""
-        deadline = self._parts.drained_at()
-        if deadline is None or not self._parts.has_peers():
+        deadline = self._callbacks.drained_at()
+        if deadline is None or not self._callbacks.has_peers():
             return
         if reclaim_at is not None:
             deadline = min(
-                deadline, reclaim_at - HAND_OVER_S - CLOSE_RESERVE_S
+                deadline, reclaim_at - HANDOVER_TIMEOUT_S - CLOSE_RESERVE_S
             )
         await anyio.sleep_until(deadline)
 
@@ -87,7 +90,7 @@
         deadline = anyio.current_time() + self._grace_s
         if reclaim_at is not None:
             deadline = min(
-                deadline, reclaim_at - HAND_OVER_S - CLOSE_RESERVE_S
+                deadline, reclaim_at - HANDOVER_TIMEOUT_S - CLOSE_RESERVE_S
             )
         with anyio.CancelScope(deadline=deadline):
             await self._wait_until_idle()
@@ -98,27 +101,29 @@
         Requests stay open at this daemon if a peer refuses them or dies, so
         the handover is retried until none is open.
         """
-        while self._parts.open_requests():
+        while self._callbacks.open_requests():
             if reclaim_at is not None and anyio.current_time() >= reclaim_at:
-                log.warning('cut_off', requests=self._parts.open_requests())
+                log.warning(
+                    'cut_off', requests=self._callbacks.open_requests()
+                )
                 return
-            if self._parts.has_peers():
+            if self._callbacks.has_peers():
                 # A cancelled handover would leave requests that continue
                 # neither at this daemon nor at a peer.
                 with anyio.CancelScope(shield=True):
-                    await self._parts.hand_over(HAND_OVER_S)
-            await anyio.sleep(POLL_S)
+                    await self._callbacks.hand_over(HANDOVER_TIMEOUT_S)
+            await anyio.sleep(OPEN_POLL_S)
 
     async def _drain(self, reclaim_at: float | None) -> None:
         """Wait for side effects to end, as no other daemon may run them."""
         deadline = float('inf') if reclaim_at is None else reclaim_at
         with anyio.CancelScope(deadline=deadline):
-            await self._parts.drain_side_effects()
+            await self._callbacks.drain_side_effects()
 
     async def _wait_until_idle(self) -> None:
         # Requests end in several components, which share no event.
-        while self._parts.open_requests():  # noqa: ASYNC110
-            await anyio.sleep(POLL_S)
+        while self._callbacks.open_requests():  # noqa: ASYNC110
+            await anyio.sleep(OPEN_POLL_S)
 
 
 async def wait_for_notice(cloud: Cloud, vm: VMId) -> float:
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -4,7 +4,7 @@
 
 import anyio
 from mimosamux_daemon.stopping import (
-    StopParts,
+    StopCallbacks,
     StopSequence,
     wait_for_notice,
 )
@@ -28,7 +28,7 @@
         self.drained = False
 
     def sequence(self) -> StopSequence:
-        parts = StopParts(
+        parts = StopCallbacks(
             leave=self.leave,
             has_peers=lambda: self.peers,
             drained_at=lambda: self.left_at + ADDRESS_TTL_S,
@@ -36,7 +36,7 @@
             hand_over=self.hand_over,
             drain_side_effects=self.drain,
         )
-        return StopSequence(parts=parts, grace_s=GRACE_S)
+        return StopSequence(callbacks=parts, grace_s=GRACE_S)
 
     async def leave(self) -> None:
         self.left_at = anyio.current_time()
