--- a/packages/mimosamux-daemon/mimosamux_daemon/api/answers.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/api/answers.py
@@ -1,4 +1,4 @@
-"""HTTP answers to model requests, as a stream or as a whole."""
+"""HTTP responses to model requests, streamed or complete."""
 
 from functools import singledispatch
 from http import HTTPStatus
@@ -15,14 +15,14 @@
 
 REQUEST_HEADER = 'X-Mimosamux-Request'
 EVENT_STREAM = 'text/event-stream'
-CALLER_LEFT = 499
-"""Status of an answer that nobody reads, as other servers log it."""
+CLIENT_CLOSED_REQUEST = 499
+"""Status that servers log when the client disconnects early."""
 
 
 def stream_response(
     active: ActiveRequest, offset: int, pace: Pace
 ) -> Response:
-    """Return the answer as server-sent events from `offset` on."""
+    """Stream the answer as server-sent events from token `offset` on."""
     return StreamingResponse(
         stream_events(active, offset, pace=pace),
         media_type=EVENT_STREAM,
@@ -33,28 +33,32 @@
     )
 
 
-async def whole_response(request: Request, active: ActiveRequest) -> Response:
-    """Return the whole answer once it is there."""
+async def wait_for_response(
+    request: Request, active: ActiveRequest
+) -> Response:
+    """Wait until the request ends, then return the complete answer."""
     active.add_reader()
     try:
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(_cancel_when_gone, request, tasks.cancel_scope)
+            tasks.start_soon(
+                _cancel_on_disconnect, request, tasks.cancel_scope
+            )
             await active.wait_ended()
             tasks.cancel_scope.cancel()
     finally:
         active.remove_reader()
     if not active.has_ended:
-        return Response(status_code=CALLER_LEFT)
+        return Response(status_code=CLIENT_CLOSED_REQUEST)
     return ended_response(request, active)
 
 
-async def _cancel_when_gone(
+async def _cancel_on_disconnect(
     request: Request, scope: anyio.CancelScope
 ) -> None:
-    """Stop waiting once the caller has hung up.
+    """Cancel the scope when the caller disconnects.
 
-    Otherwise the caller would count as a reader to the end, and work
-    that nobody waits for would never be cancelled.
+    Otherwise the caller counts as a reader until the request ends, and
+    a request without real readers is never cancelled.
     """
     while (await request.receive())['type'] != 'http.disconnect':
         pass
@@ -62,7 +66,7 @@
 
 
 def ended_response(request: Request, active: ActiveRequest) -> Response:
-    """Return the answer of a request that has ended here."""
+    """Return the response for a request that has ended on this daemon."""
     if active.moved is not None:
         return moved_response(request, active, active.moved)
     response = final_response(active.outcome, active)
@@ -72,7 +76,7 @@
 
 @singledispatch
 def final_response(outcome: object, active: ActiveRequest) -> Response:
-    """Return the HTTP answer for the outcome of a model request."""
+    """Return the HTTP response for the outcome of a model request."""
     return outcome_response(outcome)
 
 
@@ -98,7 +102,7 @@
 
 
 def running_response(active: ActiveRequest) -> Response:
-    """Return how far a request is that has not ended."""
+    """Return the state and partial text of a running request."""
     return JSONResponse(
         {
             'id': active.request.id,
@@ -115,7 +119,7 @@
 def moved_response(
     request: Request, active: ActiveRequest, moved: Moved
 ) -> Response:
-    """Send a caller that waits for a whole answer to where it goes on."""
+    """Redirect a waiting caller to the daemon that continues its request."""
     path = f'/v1/requests/{active.request.id}?wait=true'
     return JSONResponse(
         {
@@ -131,12 +135,15 @@
     )
 
 
-def unknown_request_response(identity: str) -> Response:
-    """Say that a request is not known here, without saying it never ran."""
+def unknown_request_response(request_id: str) -> Response:
+    """Return a 404 for a request that this daemon does not know.
+
+    The request may still have run on another daemon.
+    """
     return JSONResponse(
         {
             'error': {
-                'message': f'request {identity[:64]!r} is not known here',
+                'message': f'request {request_id[:64]!r} is not known here',
                 'type': 'unknown',
                 'code': 'unknown_request',
             },
--- a/packages/mimosamux-daemon/mimosamux_daemon/api/app.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/api/app.py
@@ -1,4 +1,4 @@
-"""The HTTP application of a daemon."""
+"""ASGI applications of a daemon while it starts and while it serves."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -12,7 +12,7 @@
 from mimosamux_daemon.api.callers import CallerRoutes
 from mimosamux_daemon.api.discovery import DiscoveryRoutes
 from mimosamux_daemon.api.errors import outcome_response
-from mimosamux_daemon.api.monitoring import MonitoringRoutes, Readiness
+from mimosamux_daemon.api.monitoring import MonitoringRoutes, ReadinessCheck
 from mimosamux_daemon.api.operators import OperatorRoutes
 from mimosamux_daemon.api.services import ServiceRoutes
 from mimosamux_daemon.control.audit_trail import AuditTrail
@@ -23,24 +23,28 @@
 from mimosamux_daemon.status_report import StatusReport
 
 STARTING_RETRY_S = 1.0
+"""`Retry-After` of a daemon that is starting, in seconds."""
 ALL_METHODS = ['GET', 'POST', 'PUT', 'PATCH', 'DELETE', 'HEAD', 'OPTIONS']
 
 
 @dataclass(kw_only=True, slots=True)
-class SwitchedApp:
-    """An application that another one takes the place of while it runs."""
+class ReplaceableApp:
+    """An ASGI application that can be replaced while the server runs."""
 
     current: ASGIApp
 
     async def __call__(
         self, scope: Scope, receive: Receive, send: Send
     ) -> None:
-        """Have the current application answer."""
+        """Delegate to the current application."""
         await self.current(scope, receive, send)
 
 
-def build_starting_app(why_not_ready: Readiness) -> Starlette:
-    """Return the routes of a daemon that does not serve yet."""
+def build_starting_app(why_not_ready: ReadinessCheck) -> Starlette:
+    """Return the application of a daemon that is starting.
+
+    It answers health checks and refuses every other request.
+    """
 
     async def healthz(request: Request) -> Response:
         return PlainTextResponse('ok\n')
@@ -71,10 +75,10 @@
     settings: Settings,
     parts: DaemonParts,
     metrics: Metrics,
-    why_not_ready: Readiness,
+    why_not_ready: ReadinessCheck,
     drain: Callable[[], None],
 ) -> Starlette:
-    """Return every route of a daemon."""
+    """Return the application with all routes of a daemon."""
     in_force = parts.control.in_force
     callers = CallerRoutes(in_force=in_force, serving=parts.serving.models)
     services = ServiceRoutes(in_force=in_force, calls=parts.serving.services)
@@ -89,16 +93,16 @@
             *callers.routes(),
             *services.routes(),
             *discovery.routes(),
-            *build_operators(settings, parts, drain).routes(),
+            *build_operator_routes(settings, parts, drain).routes(),
             *monitoring.routes(),
         ]
     )
 
 
-def build_operators(
+def build_operator_routes(
     settings: Settings, parts: DaemonParts, drain: Callable[[], None]
 ) -> OperatorRoutes:
-    """Return the routes for operators."""
+    """Return the operator API over the parts of a daemon."""
     control = parts.control
     status = StatusReport(
         serving=parts.serving,
--- a/packages/mimosamux-daemon/mimosamux_daemon/api/bodies.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/api/bodies.py
@@ -1,4 +1,4 @@
-"""Reads request bodies within limits of size and time."""
+"""Reads bodies of model requests with a size limit and a time-out."""
 
 from dataclasses import dataclass
 from http import HTTPStatus
@@ -13,18 +13,18 @@
 MAX_BODY_BYTES = 2 * 1024 * 1024
 """Largest body of a model request; about half a million tokens."""
 BODY_TIMEOUT_S = 30.0
-"""Time that a caller has to send its body."""
+"""Time-out for receiving a complete body."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class BodyRefused:
-    """The body was not read; nothing ran."""
+    """A body was not accepted, so its request did not run."""
 
     status: HTTPStatus
     message: str
 
     def as_response(self) -> Response:
-        """Return the HTTP answer."""
+        """Return the HTTP error response."""
         refused = Refused(reason=Reason.BAD_REQUEST, message=self.message)
         return JSONResponse(
             outcome_body(refused), status_code=int(self.status)
@@ -39,19 +39,19 @@
     status=HTTPStatus.REQUEST_TIMEOUT,
     message=f'body: not here within {BODY_TIMEOUT_S:.0f} s',
 )
-BROKE_OFF = BodyRefused(
+TRUNCATED = BodyRefused(
     status=HTTPStatus.BAD_REQUEST, message='body: broke off'
 )
 
 
 async def read_body(request: Request) -> bytes | BodyRefused:
-    """Return the whole body, unless it is too large or too slow.
+    """Return the complete body, or why it is refused.
 
-    Without the limits a few callers could fill the memory of a small VM
-    with bodies that never end.
+    Without the limits, a few callers could exhaust the memory of a small
+    VM with bodies that never end.
     """
-    announced = request.headers.get('content-length', '')
-    if announced.isdecimal() and int(announced) > MAX_BODY_BYTES:
+    content_length = request.headers.get('content-length', '')
+    if content_length.isdecimal() and int(content_length) > MAX_BODY_BYTES:
         return TOO_LARGE
     with anyio.move_on_after(BODY_TIMEOUT_S):
         return await _read_within_limit(request)
@@ -59,14 +59,14 @@
 
 
 async def _read_within_limit(request: Request) -> bytes | BodyRefused:
-    parts = []
+    chunks = []
     size = 0
     try:
-        async for part in request.stream():
-            parts.append(part)
-            size += len(part)
+        async for chunk in request.stream():
+            chunks.append(chunk)
+            size += len(chunk)
             if size > MAX_BODY_BYTES:
                 return TOO_LARGE
     except ClientDisconnect:
-        return BROKE_OFF
-    return b''.join(parts)
+        return TRUNCATED
+    return b''.join(chunks)
--- a/packages/mimosamux-daemon/mimosamux_daemon/api/callers.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/api/callers.py
@@ -1,4 +1,4 @@
-"""Routes that callers use."""
+"""Routes of the caller API: completions and the state of requests."""
 
 import uuid
 from dataclasses import dataclass, field
@@ -16,7 +16,7 @@
     running_response,
     stream_response,
     unknown_request_response,
-    whole_response,
+    wait_for_response,
 )
 from mimosamux_daemon.api.bodies import BodyRefused, read_body
 from mimosamux_daemon.api.errors import outcome_response
@@ -37,7 +37,7 @@
     'KEY_HEADER',
     'REQUEST_HEADER',
     'CallerRoutes',
-    'find_class',
+    'find_work_class',
 ]
 
 CLASS_HEADER = 'x-mimosamux-class'
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class CallerRoutes:
-    """Handlers of the caller API over the serving of one daemon."""
+    """Handlers of the caller API on one daemon."""
 
     in_force: ConfigurationInForce
     serving: ModelServing
@@ -73,22 +73,26 @@
         return await self._complete(request, CompletionBody)
 
     async def _complete(
-        self, request: Request, kind: type[ChatBody] | type[CompletionBody]
+        self,
+        request: Request,
+        body_type: type[ChatBody] | type[CompletionBody],
     ) -> Response:
         configuration = self.in_force.current
         account = find_account(request, configuration)
         if isinstance(account, Refused):
             return outcome_response(account)
-        work_class = find_class(request, configuration)
+        work_class = find_work_class(request, configuration)
         if isinstance(work_class, Refused):
             return outcome_response(work_class)
         data = await read_body(request)
         if isinstance(data, BodyRefused):
             return data.as_response()
         try:
-            body = parse_body(kind, data)  # type: ignore[type-var]
-            offered = _as_request(request, body, account, work_class)
-            resume = find_resume(request)
+            body = parse_body(body_type, data)  # type: ignore[type-var]
+            model_request = _build_model_request(
+                request, body, account, work_class
+            )
+            last_event = read_last_event_id(request)
         except InvalidRequest as error:
             return _bad_request(str(error))
         if body.model not in configuration.models:
@@ -99,28 +103,30 @@
                 )
             )
         active: ActiveRequest | Refused | InDoubt | None
-        active = self._find_resumed(resume, offered)
+        active = self._find_resumed(last_event, model_request)
         if active is None:
-            # An event id of another daemon that is gone names a request
-            # that is not known here: it runs afresh, under a new id.
-            resume = None
-            active = await self.serving.offer(offered, configuration)
+            # An event id from a daemon that is gone names a request that
+            # is unknown here: the request starts anew, under a new id.
+            last_event = None
+            active = await self.serving.offer(model_request, configuration)
         if isinstance(active, Refused | InDoubt):
             return outcome_response(active)
         if body.stream:
-            offset = resume.offset if resume else 0
+            offset = last_event.offset if last_event else 0
             return stream_response(active, offset, self.pace)
-        return await whole_response(request, active)
+        return await wait_for_response(request, active)
 
     def _find_resumed(
-        self, resume: EventId | None, offered: ModelRequest
+        self, last_event: EventId | None, model_request: ModelRequest
     ) -> ActiveRequest | Refused | None:
-        if resume is None:
+        if last_event is None:
             return None
-        active = self.serving.registry.find(resume.request, offered.account)
+        active = self.serving.registry.find(
+            last_event.request, model_request.account
+        )
         if active is None:
             return None
-        if not has_same_body(active.request, offered):
+        if not has_same_body(active.request, model_request):
             return Refused(
                 reason=Reason.CONFLICT,
                 message=f'{EVENT_ID_HEADER} names a request with another body',
@@ -128,25 +134,29 @@
         return active
 
     async def show_request(self, request: Request) -> Response:
-        """Answer `GET /v1/requests/{id}`: its state and its answer."""
+        """Answer `GET /v1/requests/{id}` with the state and the answer."""
         account = find_account(request, self.in_force.current)
         if isinstance(account, Refused):
             return outcome_response(account)
-        identity = RequestId(request.path_params['id'])
-        active = self.serving.registry.find(identity, account.id)
+        request_id = RequestId(request.path_params['id'])
+        active = self.serving.registry.find(request_id, account.id)
         if active is None:
-            return unknown_request_response(identity)
+            return unknown_request_response(request_id)
         try:
-            resume = find_resume(request)
+            last_event = read_last_event_id(request)
         except InvalidRequest as error:
             return _bad_request(str(error))
         if EVENT_STREAM in request.headers.get('accept', ''):
-            is_same = resume is not None and resume.request == identity
+            is_same_request = (
+                last_event is not None and last_event.request == request_id
+            )
             return stream_response(
-                active, resume.offset if resume and is_same else 0, self.pace
+                active,
+                last_event.offset if last_event and is_same_request else 0,
+                self.pace,
             )
         if request.query_params.get('wait') == 'true':
-            return await whole_response(request, active)
+            return await wait_for_response(request, active)
         if active.has_ended:
             return ended_response(request, active)
         return running_response(active)
@@ -158,8 +168,8 @@
     )
 
 
-def find_resume(request: Request) -> EventId | None:
-    """Return the event that the caller has read last, if any."""
+def read_last_event_id(request: Request) -> EventId | None:
+    """Return the last event that the caller received, or None."""
     text = request.headers.get(EVENT_ID_HEADER)
     if text is None:
         return None
@@ -171,8 +181,8 @@
     return parsed
 
 
-def find_key(request: Request) -> str | None:
-    """Return the idempotency key, checked."""
+def read_idempotency_key(request: Request) -> str | None:
+    """Return the idempotency key, or None; check its length."""
     key = request.headers.get(KEY_HEADER)
     if key is not None and not 0 < len(key) <= MAX_KEY_LENGTH:
         raise InvalidRequest(
@@ -182,7 +192,7 @@
     return key
 
 
-def _as_request(
+def _build_model_request(
     request: Request,
     body: ChatBody | CompletionBody,
     account: Account,
@@ -196,15 +206,18 @@
         prompt=body.prompt,
         max_tokens=body.max_tokens,
         arrived=anyio.current_time(),
-        idempotency_key=find_key(request),
+        idempotency_key=read_idempotency_key(request),
         parameters=body.parameters,
     )
 
 
-def find_class(
+def find_work_class(
     request: Request, configuration: Configuration
 ) -> WorkClass | Refused:
-    """Return the class that the request names, or the only one."""
+    """Return the work class that the request names.
+
+    The header may be absent if only one class is configured.
+    """
     if configuration.version == 0:
         return Refused(
             reason=Reason.NO_CONFIGURATION,
--- a/packages/mimosamux-daemon/mimosamux_daemon/api/decisions.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/api/decisions.py
@@ -1,4 +1,4 @@
-"""HTTP answers for what became of an operator's proposal."""
+"""HTTP responses for decisions on proposed configuration changes."""
 
 from functools import singledispatch
 from http import HTTPStatus
@@ -23,7 +23,7 @@
 
 @singledispatch
 def decision_response(decision: object) -> Response:
-    """Return the whole HTTP answer for a decision."""
+    """Return the HTTP response for a decision."""
     raise TypeError(f'not a decision: {type(decision).__name__}')
 
 
@@ -40,7 +40,7 @@
         'conflict',
         f'changed by {who or "others"} since the expected version',
         version=decision.version,
-        changes=[change_fields(change) for change in decision.changes],
+        changes=[describe_change(change) for change in decision.changes],
     )
 
 
@@ -83,7 +83,7 @@
     retry_after_s: int | None = None,
     **fields: Any,
 ) -> Response:
-    """Return an error in the form of the caller API."""
+    """Return an error in the format of the caller API."""
     response = JSONResponse(
         {
             'error': {'message': message, 'type': outcome, 'code': outcome},
@@ -97,8 +97,8 @@
     return response
 
 
-def change_fields(change: Change) -> dict[str, Any]:
-    """Return a change as operators are shown it."""
+def describe_change(change: Change) -> dict[str, Any]:
+    """Return the JSON object that describes a change."""
     return {
         'operation': change.operation,
         'who': change.who,
@@ -109,9 +109,9 @@
     }
 
 
-def record_fields(record: VersionRecord) -> dict[str, Any]:
-    """Return a version as operators are shown it."""
+def describe_version(record: VersionRecord) -> dict[str, Any]:
+    """Return the JSON object that describes a version."""
     return {
         'version': record.version,
-        'changes': [change_fields(change) for change in record.changes],
+        'changes': [describe_change(change) for change in record.changes],
     }
--- a/packages/mimosamux-daemon/mimosamux_daemon/api/discovery.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/api/discovery.py
@@ -1,4 +1,4 @@
-"""Route with which callers ask for addresses."""
+"""Route that tells callers which daemon addresses to use."""
 
 from dataclasses import dataclass
 
@@ -25,7 +25,7 @@
         return [Route('/v1/entry-addresses', self.entry_addresses)]
 
     async def entry_addresses(self, request: Request) -> Response:
-        """Answer with the addresses of the account's preferred order."""
+        """Answer with daemon addresses in the account's preferred order."""
         account = find_account(request, self.in_force.current)
         if isinstance(account, Refused):
             return outcome_response(account)
--- a/packages/mimosamux-daemon/mimosamux_daemon/api/errors.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/api/errors.py
@@ -1,4 +1,4 @@
-"""HTTP answers for outcomes, in the error form that callers know."""
+"""HTTP responses for outcomes, with errors in the OpenAI format."""
 
 import math
 from functools import singledispatch
@@ -30,7 +30,11 @@
     Reason.UNKNOWN_REQUEST: HTTPStatus.NOT_FOUND,
     Reason.UNKNOWN_SERVICE: HTTPStatus.NOT_FOUND,
 }
-"""Reasons that are not listed answer 503 (service unavailable)."""
+"""HTTP status by reason.
+
+Other reasons give 503 (service unavailable) for refused requests and 502
+(bad gateway) for failed ones.
+"""
 
 
 @singledispatch
@@ -75,7 +79,7 @@
 
 @singledispatch
 def outcome_response(outcome: object) -> Response:
-    """Return the whole HTTP answer for an outcome."""
+    """Return the HTTP response for an outcome."""
     raise TypeError(f'not an outcome: {type(outcome).__name__}')
 
 
--- a/packages/mimosamux-daemon/mimosamux_daemon/api/models.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/api/models.py
@@ -1,4 +1,4 @@
-"""Validated models of what callers send."""
+"""Models that validate the bodies of model requests."""
 
 from typing import Any, TypeVar
 
@@ -20,6 +20,8 @@
 
 
 class _GenerationBody(pydantic.BaseModel):
+    """Fields that chat and text completions share."""
+
     model_config = pydantic.ConfigDict(extra='allow')
 
     model: str = pydantic.Field(min_length=1)
@@ -30,7 +32,7 @@
 
     @property
     def parameters(self) -> dict[str, Any]:
-        """Fields that are passed to the engine unread."""
+        """Other fields, which are forwarded to the engine unchanged."""
         return dict(self.model_extra or {})
 
 
@@ -41,7 +43,7 @@
 
     @property
     def prompt(self) -> str:
-        """Canonical text: each message behind its role."""
+        """The messages as one text, a `role: content` entry for each."""
         return '\n'.join(
             f'{message.role}: {message.content}' for message in self.messages
         )
@@ -56,10 +58,10 @@
 BodyT = TypeVar('BodyT', ChatBody, CompletionBody)
 
 
-def parse_body(kind: type[BodyT], data: bytes) -> BodyT:
-    """Return the checked body; `InvalidRequest` names a wrong field."""
+def parse_body(body_type: type[BodyT], data: bytes) -> BodyT:
+    """Validate a body; raise `InvalidRequest` with the invalid field."""
     try:
-        body = kind.model_validate_json(data)
+        body = body_type.model_validate_json(data)
     except pydantic.ValidationError as error:
         problem = first_problem(error)
         raise InvalidRequest(
@@ -73,6 +75,7 @@
 
 
 def _check_text(path: str, text: str) -> None:
+    """Refuse text with lone surrogates, which UTF-8 cannot encode."""
     try:
         text.encode()
     except UnicodeEncodeError as error:
@@ -82,10 +85,11 @@
 
 
 def _check_parameter(name: str, value: object) -> None:
-    """Refuse what cannot be passed on to an engine as JSON.
+    """Refuse a parameter that cannot be encoded as JSON for an engine.
 
-    Numbers of any size and depths of hundreds are read from a body, and
-    would only fail when the call is sent, after the request was accepted.
+    The body parser accepts numbers of any size and hundreds of nesting
+    levels. Without this check, they would fail only when the call is sent,
+    after the request was accepted.
     """
     try:
         orjson.dumps({name: value})
--- a/packages/mimosamux-daemon/mimosamux_daemon/api/monitoring.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/api/monitoring.py
@@ -1,4 +1,4 @@
-"""Routes for monitoring."""
+"""Routes for health checks, readiness checks and metrics."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -10,8 +10,8 @@
 from mimosamux_daemon.control.configuration import ConfigurationInForce
 from mimosamux_daemon.metrics import Metrics
 
-Readiness = Callable[[], str | None]
-"""Returns why the daemon is not ready, None if it is."""
+ReadinessCheck = Callable[[], str | None]
+"""Returns why the daemon is not ready, or None if it is."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -20,8 +20,8 @@
 
     in_force: ConfigurationInForce
     metrics: Metrics | None = None
-    readiness: tuple[Readiness, ...] = ()
-    """Further reasons for not being ready."""
+    readiness: tuple[ReadinessCheck, ...] = ()
+    """ReadinessCheck checks besides that for a configuration."""
 
     def routes(self) -> list[Route]:
         """Return the routes for the application."""
@@ -36,7 +36,7 @@
         return PlainTextResponse('ok\n')
 
     async def readyz(self, request: Request) -> Response:
-        """Answer 200 once nothing speaks against sending requests here."""
+        """Answer 200 if the daemon is ready, else 503 with the reasons."""
         reasons = [reason for check in self.readiness if (reason := check())]
         if self.in_force.current.version == 0:
             reasons.insert(0, 'no configuration')
@@ -46,7 +46,7 @@
         return PlainTextResponse('ready\n')
 
     async def show_metrics(self, request: Request) -> Response:
-        """Answer with every metric in the format that was asked for."""
+        """Answer with all metrics in the format that `Accept` asks for."""
         if self.metrics is None:
             return PlainTextResponse('no metrics\n', status_code=404)
         accept = request.headers.getlist('accept')
--- a/packages/mimosamux-daemon/mimosamux_daemon/api/operator_models.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/api/operator_models.py
@@ -1,4 +1,4 @@
-"""Validated models of what operators send."""
+"""Models that validate bodies and queries of the operator API."""
 
 from typing import Any, TypeVar
 
@@ -7,15 +7,17 @@
 from mimosamux_daemon.errors import InvalidRequest
 from mimosamux_daemon.validation import first_problem
 
-MAX_WHY = 1000
+MAX_WHY_LENGTH = 1000
 
 
 class _OperatorBody(pydantic.BaseModel):
+    """Fields of every proposed configuration change."""
+
     model_config = pydantic.ConfigDict(extra='forbid')
 
     operation: str = pydantic.Field(min_length=8, max_length=64)
-    """Chosen by the operator; a repeat with the same one is harmless."""
-    why: str = pydantic.Field(default='', max_length=MAX_WHY)
+    """Idempotency key from the operator: a repeat has no further effect."""
+    why: str = pydantic.Field(default='', max_length=MAX_WHY_LENGTH)
 
 
 class ApplyBody(_OperatorBody):
@@ -29,14 +31,14 @@
     """Body of `POST /v1/operator/configuration/set`."""
 
     path: str | tuple[str, ...]
-    """Keys, or one text with dots between them."""
+    """Path of the value: its keys, or one text with dots between them."""
     value: Any = None
     remove: bool = False
     expected_version: int | None = pydantic.Field(default=None, ge=0)
 
     @property
     def keys(self) -> tuple[str, ...]:
-        """The path as keys."""
+        """The path, split into keys."""
         if isinstance(self.path, str):
             return tuple(self.path.split('.'))
         return self.path
@@ -50,9 +52,9 @@
     kind: str | None = None
     who: str | None = None
     since: float = pydantic.Field(default=0.0, ge=0, lt=1e10)
-    """Wall time in seconds since 1970."""
+    """Unix time: seconds since 1970."""
     after: str = pydantic.Field(default='', max_length=200)
-    """The `next` of the page before."""
+    """`next` of the previous page; empty for the first page."""
     limit: int = pydantic.Field(default=100, ge=1, le=500)
 
 
@@ -77,22 +79,22 @@
 ModelT = TypeVar('ModelT', bound=pydantic.BaseModel)
 
 
-def parse_json(kind: type[ModelT], data: bytes) -> ModelT:
-    """Return the checked body; `InvalidRequest` names a wrong field."""
+def parse_json(model_type: type[ModelT], data: bytes) -> ModelT:
+    """Validate a body; raise `InvalidRequest` with the invalid field."""
     try:
-        return kind.model_validate_json(data)
+        return model_type.model_validate_json(data)
     except pydantic.ValidationError as error:
-        raise _as_invalid(error) from error
+        raise _to_invalid_request(error) from error
 
 
-def parse_query(kind: type[ModelT], query: dict[str, str]) -> ModelT:
-    """Return the checked query; `InvalidRequest` names a wrong field."""
+def parse_query(model_type: type[ModelT], query: dict[str, str]) -> ModelT:
+    """Validate a query; raise `InvalidRequest` with the invalid field."""
     try:
-        return kind.model_validate(query)
+        return model_type.model_validate(query)
     except pydantic.ValidationError as error:
-        raise _as_invalid(error) from error
+        raise _to_invalid_request(error) from error
 
 
-def _as_invalid(error: pydantic.ValidationError) -> InvalidRequest:
+def _to_invalid_request(error: pydantic.ValidationError) -> InvalidRequest:
     problem = first_problem(error)
     return InvalidRequest(path=problem.path, problem=problem.message)
--- a/packages/mimosamux-daemon/mimosamux_daemon/api/operators.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/api/operators.py
@@ -1,4 +1,4 @@
-"""Routes that operators use."""
+"""Routes of the operator API: configuration, audit, status, drain."""
 
 from collections.abc import Awaitable, Callable, Mapping, Sequence
 from dataclasses import asdict, dataclass, field
@@ -13,8 +13,8 @@
 from mimosamux_daemon.api.accounts import bearer_token, digest_key
 from mimosamux_daemon.api.decisions import (
     decision_response,
+    describe_version,
     error_response,
-    record_fields,
 )
 from mimosamux_daemon.api.operator_models import (
     ApplyBody,
@@ -47,19 +47,23 @@
 
 PREFIX = '/v1/operator'
 READ = 'read'
+"""Role of tokens for reading only."""
 WRITE = 'write'
+"""Role of tokens for reading, configuration changes and drains."""
 MAX_BODY_BYTES = MAX_DOCUMENT_BYTES + 64 * 1024
+"""Largest body: a configuration document and its other fields."""
 
-StatusPart = Callable[[], Sequence[Mapping[str, Any]]]
+StatusSource = Callable[[], Sequence[Mapping[str, Any]]]
+"""Returns the rows of one section of the status."""
 
 
-def _nothing() -> Sequence[Mapping[str, Any]]:
+def _no_rows() -> Sequence[Mapping[str, Any]]:
     return ()
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Operator:
-    """Whoever bears an operator token."""
+    """The bearer of an operator token."""
 
     who: str
     role: str
@@ -77,8 +81,8 @@
     membership: Membership
     audit: AuditTrail
     drain: Callable[[], Awaitable[None] | None]
-    endpoints: StatusPart = field(default=_nothing)
-    classes: StatusPart = field(default=_nothing)
+    endpoints: StatusSource = field(default=_no_rows)
+    classes: StatusSource = field(default=_no_rows)
 
     def routes(self) -> list[Route]:
         """Return the routes for the application."""
@@ -96,7 +100,7 @@
     async def read_configuration(
         self, request: Request, operator: Operator
     ) -> Response:
-        """Return the document in force."""
+        """Return the configuration document in force and its version."""
         return JSONResponse(
             {
                 'version': self.replica.version,
@@ -107,39 +111,41 @@
     async def read_history(
         self, request: Request, operator: Operator
     ) -> Response:
-        """Return versions and who made them, oldest first."""
+        """Return configuration versions with their changes, oldest first."""
         query = parse_query(HistoryQuery, dict(request.query_params))
         after = query.after
         if after is None:
             after = max(0, self.replica.version - query.limit)
         records = await self.log.read_records(after)
         if isinstance(records, Unavailable):
-            return _store_unavailable(records)
+            return _store_unavailable_response(records)
         return JSONResponse(
             {
                 'versions': [
-                    record_fields(record) for record in records[: query.limit]
+                    describe_version(record)
+                    for record in records[: query.limit]
                 ]
             }
         )
 
     async def wait(self, request: Request, operator: Operator) -> Response:
-        """Return once every reachable ready daemon holds a version.
+        """Wait until every reachable ready daemon has a version.
 
-        Of other data centres the lowest version of their ready daemons
-        counts, as their summaries state it.
+        Another data centre counts with the lowest version of its ready
+        daemons, which its summary reports.
+        At the time-out, the answer lists the daemons that lag behind.
         """
         query = parse_query(WaitQuery, dict(request.query_params))
         with anyio.move_on_after(query.timeout_s):
             await self.replica.in_force.wait_for(query.version)
             await self.membership.wait_for_version(query.version)
-        behind = self._behind(query.version)
-        if behind:
+        lagging = self._find_lagging(query.version)
+        if lagging:
             return error_response(
                 HTTPStatus.GATEWAY_TIMEOUT,
                 'not_everywhere',
                 f'version {query.version} is not yet held by all',
-                behind=behind,
+                behind=lagging,
             )
         return JSONResponse(
             {
@@ -149,7 +155,7 @@
         )
 
     async def apply(self, request: Request, operator: Operator) -> Response:
-        """Propose a whole document."""
+        """Propose a complete configuration document."""
         body = parse_json(ApplyBody, await _read_body(request))
         return await self._propose(
             ApplyDocument(
@@ -162,7 +168,7 @@
         )
 
     async def set(self, request: Request, operator: Operator) -> Response:
-        """Propose one value."""
+        """Propose to set or remove one value."""
         body = parse_json(SetBody, await _read_body(request))
         return await self._propose(
             SetValue(
@@ -191,7 +197,7 @@
             )
         )
         if isinstance(page, Unavailable):
-            return _store_unavailable(page)
+            return _store_unavailable_response(page)
         return JSONResponse(
             {
                 'entries': [asdict(entry) for entry in page.entries],
@@ -202,12 +208,12 @@
     async def read_status(
         self, request: Request, operator: Operator
     ) -> Response:
-        """Return daemons, endpoints and classes against their targets."""
+        """Return the status of daemons, endpoints and work classes."""
         return JSONResponse(
             {
                 'daemon': self.membership.daemon,
                 'version': self.replica.version,
-                'daemons': self._daemons(),
+                'daemons': self._list_daemons(),
                 'endpoints': [dict(item) for item in self.endpoints()],
                 'classes': [dict(item) for item in self.classes()],
             }
@@ -216,7 +222,7 @@
     async def start_drain(
         self, request: Request, operator: Operator
     ) -> Response:
-        """Have this daemon stop gracefully."""
+        """Start a graceful stop of this daemon."""
         started = self.drain()
         if started is not None:
             await started
@@ -271,14 +277,14 @@
     async def _propose(self, proposal: Proposal) -> Response:
         return decision_response(await self.acceptor.propose(proposal))
 
-    def _behind(self, version: int) -> dict[str, int]:
+    def _find_lagging(self, version: int) -> dict[str, int]:
         return {
             name: held
             for name, held in self.membership.versions_by_daemon().items()
             if held < version
         }
 
-    def _daemons(self) -> list[dict[str, Any]]:
+    def _list_daemons(self) -> list[dict[str, Any]]:
         return [
             {
                 'daemon': member.id,
@@ -316,5 +322,5 @@
         ) from error
 
 
-def _store_unavailable(problem: Unavailable) -> Response:
+def _store_unavailable_response(problem: Unavailable) -> Response:
     return decision_response(StoreUnavailable(reason=problem.reason))
--- a/packages/mimosamux-daemon/mimosamux_daemon/api/services.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/api/services.py
@@ -1,4 +1,4 @@
-"""Routes to the plain services beside the model engines."""
+"""Routes to services other than model engines."""
 
 import uuid
 from dataclasses import dataclass
@@ -13,7 +13,7 @@
     CLASS_HEADER,
     KEY_HEADER,
     REQUEST_HEADER,
-    find_class,
+    find_work_class,
 )
 from mimosamux_daemon.api.errors import outcome_response
 from mimosamux_daemon.control.configuration import ConfigurationInForce
@@ -28,9 +28,10 @@
 FIRST_ATTEMPT = '1'
 METHODS = ['GET', 'POST', 'PUT', 'PATCH', 'DELETE', 'OPTIONS']
 MAX_BODY_BYTES = 8 * 1024 * 1024
-ROUTE_PARTS = 4
-"""Parts of a route before the service's own path: '', v1, services, S."""
-OWN_HEADERS = frozenset(
+"""Largest body of a service call."""
+PREFIX_PARTS = 4
+"""Path segments before the service's own path: '', v1, services, S."""
+DAEMON_HEADERS = frozenset(
     {
         'authorization',
         'host',
@@ -40,12 +41,12 @@
         ATTEMPT_HEADER,
     }
 )
-"""Headers that are meant for the daemon and not for the service."""
+"""Request headers for the daemon, which are not forwarded."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ServiceRoutes:
-    """Handlers of `/v1/services`."""
+    """Handler of calls to `/v1/services`."""
 
     in_force: ConfigurationInForce
     calls: ServiceCalls
@@ -61,7 +62,7 @@
         ]
 
     async def call(self, request: Request) -> Response:
-        """Pass a call to a service, under the rules of its class."""
+        """Forward a call to a service under the rules of its work class."""
         configuration = self.in_force.current
         account = find_account(request, configuration)
         if isinstance(account, Refused):
@@ -72,7 +73,7 @@
         body = await read_body(request)
         if isinstance(body, Refused):
             return outcome_response(body)
-        call = _as_call(request, account, work_class, body)
+        call = _build_service_call(request, account, work_class, body)
         response = outcome_response(await self.calls.call(call, configuration))
         response.headers[REQUEST_HEADER] = call.id
         return response
@@ -81,7 +82,7 @@
 def find_service_class(
     request: Request, configuration: Configuration
 ) -> WorkClass | Refused:
-    """Return the class that the request names, or the service's own."""
+    """Return the work class that the request names, or the service's."""
     name = ServiceName(request.path_params['service'])
     service = configuration.services.get(name)
     if configuration.version and service is None:
@@ -90,16 +91,16 @@
             message=f'there is no service {name!r}',
         )
     if service is None or CLASS_HEADER in request.headers:
-        return find_class(request, configuration)
+        return find_work_class(request, configuration)
     return configuration.classes[service.work_class]
 
 
 async def read_body(request: Request) -> bytes | Refused:
-    """Return the whole body, unless it is too large or breaks off."""
+    """Return the complete body, or a refusal if too large or truncated."""
     body = bytearray()
     try:
-        async for part in request.stream():
-            body += part
+        async for chunk in request.stream():
+            body += chunk
             if len(body) > MAX_BODY_BYTES:
                 return Refused(
                     reason=Reason.BAD_REQUEST,
@@ -110,7 +111,7 @@
     return bytes(body)
 
 
-def _as_call(
+def _build_service_call(
     request: Request, account: Account, work_class: WorkClass, body: bytes
 ) -> ServiceCall:
     headers = tuple(request.headers.items())
@@ -121,7 +122,7 @@
         service=ServiceName(request.path_params['service']),
         method=request.method,
         path=_service_path(request),
-        headers=end_to_end_headers(headers, without=OWN_HEADERS),
+        headers=end_to_end_headers(headers, without=DAEMON_HEADERS),
         body=body,
         arrived=anyio.current_time(),
         idempotency_key=request.headers.get(KEY_HEADER),
@@ -130,8 +131,8 @@
 
 
 def _service_path(request: Request) -> str:
-    """Return the service's part of the path as sent, with the query."""
+    """Return the path after the service's name, undecoded, and the query."""
     raw = request.scope['raw_path'].decode('ascii', errors='replace')
-    path = '/' + raw.partition('?')[0].split('/', ROUTE_PARTS)[ROUTE_PARTS]
+    path = '/' + raw.partition('?')[0].split('/', PREFIX_PARTS)[PREFIX_PARTS]
     query = request.url.query
     return f'{path}?{query}' if query else path
--- a/packages/mimosamux-daemon/mimosamux_daemon/api/streams.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/api/streams.py
@@ -1,4 +1,4 @@
-"""Server-sent events of a model request."""
+"""Server-sent events that stream the answer to a model request."""
 
 from collections.abc import AsyncIterator, Mapping
 from dataclasses import dataclass
@@ -14,27 +14,31 @@
 
 DONE = b'data: [DONE]\n\n'
 KEEP_ALIVE_S = 10.0
-"""Longest silence of a stream whose daemon lives. A caller tells by it a
-daemon that stands still from a request that waits for its first token."""
+"""Idle time after which a keep-alive comment is sent.
+
+By these comments a caller tells a request that waits for its first token
+from a daemon that hangs.
+"""
 KEEP_ALIVE = b': waiting\n\n'
 MAX_OFFSET_DIGITS = 9
+"""Longest offset that an event id may have, in decimal digits."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class EventId:
-    """The event of a request's answer that ends at `offset` tokens."""
+    """Identifies the event that ends `offset` tokens into an answer."""
 
     request: RequestId
     offset: int
 
 
 def event_id(active: ActiveRequest, offset: int) -> str:
-    """Return the id of the event that ends at `offset` tokens."""
+    """Return the text of the id `REQUEST:OFFSET` of an event."""
     return f'{active.request.id}:{offset}'
 
 
 def parse_event_id(text: str) -> EventId | None:
-    """Return the parts of an event id, None if it is malformed."""
+    """Parse the id of an event; return None if it is malformed."""
     request, colon, offset = text.rpartition(':')
     if not (colon and request and offset.isascii() and offset.isdecimal()):
         return None
@@ -43,10 +47,10 @@
     return EventId(request=RequestId(request), offset=int(offset))
 
 
-def chunk(
+def build_chunk(
     active: ActiveRequest, text: str, finish_reason: str | None
 ) -> dict[str, object]:
-    """Return one chunk in the form that callers know."""
+    """Return one completion chunk in the OpenAI format."""
     return {
         'id': active.request.id,
         'object': 'chat.completion.chunk',
@@ -65,29 +69,30 @@
 async def stream_events(
     active: ActiveRequest, offset: int, *, pace: Pace | None = None
 ) -> AsyncIterator[bytes]:
-    """Yield events from `offset` on, with all that is ready in each.
+    """Yield events from token `offset` on.
 
-    The first one comes at once, and those after it at the pace.
+    Each event carries all tokens that are ready. The first event is sent
+    at once; a pause follows each later one, so that tokens accumulate.
     """
     pace = Pace() if pace is None else pace
     pace.streams += 1
     active.add_reader()
-    has_begun = False
+    has_sent_tokens = False
     try:
         while True:
-            with anyio.move_on_after(KEEP_ALIVE_S) as waiting:
+            with anyio.move_on_after(KEEP_ALIVE_S) as idle_scope:
                 await active.wait_for_tokens(offset)
-            if waiting.cancelled_caught:
+            if idle_scope.cancelled_caught:
                 yield KEEP_ALIVE
             elif len(active.tokens) > offset:
                 text = ''.join(active.tokens[offset:])
                 offset = len(active.tokens)
                 yield _event(
-                    event_id(active, offset), chunk(active, text, None)
+                    event_id(active, offset), build_chunk(active, text, None)
                 )
-                if has_begun and pace.gap_s and not active.has_ended:
+                if has_sent_tokens and pace.gap_s and not active.has_ended:
                     await anyio.sleep(pace.gap_s)
-                has_begun = True
+                has_sent_tokens = True
             if active.has_ended and len(active.tokens) <= offset:
                 break
     finally:
@@ -103,7 +108,7 @@
         body = {'address': active.moved.address, 'last_event_id': identity}
         return [_event(identity, body, name='moved')]
     if isinstance(active.outcome, Answered):
-        final = chunk(active, '', active.outcome.finish_reason)
+        final = build_chunk(active, '', active.outcome.finish_reason)
         return [_event(identity, final), DONE]
     return [_event(identity, outcome_body(active.outcome), name='error')]
 
--- a/packages/mimosamux-daemon/mimosamux_daemon/daemon.py
+++ b/packages/mimosamux-daemon/mimosamux_daemon/daemon.py
@@ -12,7 +12,7 @@
 from mimosamux_daemon.adapters.http_server import listen, serve_http
 from mimosamux_daemon.adapters.tls import ReloadingCertificate
 from mimosamux_daemon.api.app import (
-    SwitchedApp,
+    ReplaceableApp,
     build_app,
     build_starting_app,
 )
@@ -77,7 +77,7 @@
         """Serve until the stop, then finish or hand over open requests."""
         listener = listen(self.settings.host, self.settings.port)
         self.address = _address_of(listener)
-        app = SwitchedApp(current=build_starting_app(self._why_not_ready))
+        app = ReplaceableApp(current=build_starting_app(self._why_not_ready))
         async with (
             open_platform(self.settings) as platform,
             anyio.create_task_group() as tasks,
@@ -98,7 +98,7 @@
         self,
         platform: Platform,
         tasks: anyio.abc.TaskGroup,
-        app: SwitchedApp,
+        app: ReplaceableApp,
     ) -> None:
         control = self._build_control(platform)
         tasks.start_soon(self._stop_when_superseded, control)
