--- a/packages/mimosamux-wire/mimosamux_wire/__init__.py
+++ b/packages/mimosamux-wire/mimosamux_wire/__init__.py
@@ -1,4 +1,4 @@
-"""Messages between mimosamux daemons."""
+"""Messages between mimosamux daemons, their encoding and their framing."""
 
 from mimosamux_wire.configuration_messages import (
     CommittedVersion,
--- a/packages/mimosamux-wire/mimosamux_wire/configuration_messages.py
+++ b/packages/mimosamux-wire/mimosamux_wire/configuration_messages.py
@@ -1,4 +1,4 @@
-"""Messages that spread the configuration."""
+"""Messages that replicate the versioned configuration."""
 
 from dataclasses import dataclass, field
 from typing import Any, ClassVar
@@ -10,7 +10,7 @@
 
 @dataclass(kw_only=True, slots=True)
 class CommittedVersion(Message):
-    """One version of the configuration, as its row in the table holds it."""
+    """One configuration version, as stored in its table row."""
 
     version: int = 0
     row: bytes = b''
@@ -23,10 +23,10 @@
 
 @dataclass(kw_only=True, slots=True)
 class ConfigurationPush(Message):
-    """Versions that were committed just now, oldest first."""
+    """Newly committed versions, oldest first."""
 
     origin: str = ''
-    """Data centre in which they were accepted or first learnt of."""
+    """Data centre that accepted the versions or learned of them first."""
     versions: list[CommittedVersion] = field(default_factory=list)
     thrift_spec: ClassVar[tuple[Any, ...]] = (
         None,
@@ -47,7 +47,7 @@
 
 @dataclass(kw_only=True, slots=True)
 class ConfigurationFetch(Message):
-    """Asks for everything after a version."""
+    """Asks for all versions after `after`."""
 
     after: int = 0
     thrift_spec: ClassVar[tuple[Any, ...]] = (
@@ -58,12 +58,12 @@
 
 @dataclass(kw_only=True, slots=True)
 class ConfigurationState(Message):
-    """Answer to a fetch: what is missing, or a whole snapshot."""
+    """Answer to a fetch: the missing versions, or a complete snapshot."""
 
     version: int = 0
     versions: list[CommittedVersion] = field(default_factory=list)
     snapshot: bytes = b''
-    """Empty if `versions` leads from the version asked for to this one."""
+    """Empty if `versions` holds all versions after the requested one."""
     thrift_spec: ClassVar[tuple[Any, ...]] = (
         None,
         (1, TType.I64, 'version', None, 0),
--- a/packages/mimosamux-wire/mimosamux_wire/crash_messages.py
+++ b/packages/mimosamux-wire/mimosamux_wire/crash_messages.py
@@ -1,4 +1,8 @@
-"""Messages about requests that were there when endpoints crashed."""
+"""Messages about request contents suspected of crashing endpoints.
+
+A content is suspected if requests with it were running at an endpoint when
+the endpoint crashed.
+"""
 
 from dataclasses import dataclass, field
 from typing import Any, ClassVar
@@ -10,13 +14,14 @@
 
 @dataclass(kw_only=True, slots=True)
 class SuspectTold(Message):
-    """What the sender knows of one content that is suspected."""
+    """A suspected content and its crashes, as the sender knows them."""
 
     content: str = ''
+    """Content key of the requests."""
     endpoints: list[str] = field(default_factory=list)
-    """Starts of endpoints that crashed while they ran it."""
+    """Endpoint incarnations that crashed while running the content."""
     age_ms: int = 0
-    """Time since the last of these crashes."""
+    """Time since the latest of these crashes."""
     thrift_spec: ClassVar[tuple[Any, ...]] = (
         None,
         (1, TType.STRING, 'content', 'UTF8', ''),
@@ -44,7 +49,7 @@
 
 @dataclass(kw_only=True, slots=True)
 class SuspectsCleared(Message):
-    """Contents that are suspected no longer."""
+    """Content keys that are cleared of suspicion."""
 
     contents: list[str] = field(default_factory=list)
     thrift_spec: ClassVar[tuple[Any, ...]] = (
@@ -55,10 +60,10 @@
 
 @dataclass(kw_only=True, slots=True)
 class CrashWithdrawn(Message):
-    """An endpoint that was taken for crashed lives on."""
+    """Withdraws a crash report: the endpoint is still running."""
 
     endpoint: str = ''
-    """The start that is meant."""
+    """Endpoint incarnation that was reported as crashed."""
     thrift_spec: ClassVar[tuple[Any, ...]] = (
         None,
         (1, TType.STRING, 'endpoint', 'UTF8', ''),
--- a/packages/mimosamux-wire/mimosamux_wire/envelopes.py
+++ b/packages/mimosamux-wire/mimosamux_wire/envelopes.py
@@ -1,4 +1,7 @@
-"""Thrift messages as bytes: name, type, sequence id and struct."""
+"""Encoding of messages as thrift messages (compact protocol).
+
+A thrift message consists of a name, a type, a sequence number and a struct.
+"""
 
 from dataclasses import dataclass
 from enum import IntEnum
@@ -15,7 +18,7 @@
 
 
 class EnvelopeType(IntEnum):
-    """Role of a message on its link, as thrift numbers them."""
+    """Role of a message on its link, with thrift's numbers."""
 
     CALL = TMessageType.CALL
     REPLY = TMessageType.REPLY
@@ -25,7 +28,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Envelope:
-    """A message as it came in; `message` is None for an unknown name."""
+    """A received message; `message` is None if its name is unknown."""
 
     name: str
     type: EnvelopeType
@@ -35,13 +38,13 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Malformed:
-    """Bytes that are no message; the link that sent them is closed."""
+    """Result for bytes that cannot be decoded; the link is closed."""
 
     problem: str
 
 
 def encode(message: Message, kind: EnvelopeType, sequence: int) -> bytes:
-    """Return the bytes of a message."""
+    """Return the message as an encoded thrift message."""
     buffer = TMemoryBuffer()
     protocol = _protocol(buffer)
     protocol.writeMessageBegin(type(message).__name__, kind, sequence)
@@ -52,14 +55,14 @@
 
 
 def decode(data: bytes) -> Envelope | Malformed:
-    """Return the message in `data`, whatever the bytes are."""
+    """Decode any bytes; undecodable ones give `Malformed`, no exception."""
     try:
         return _decode(data)
     except Exception as error:
-        # Bytes of a faulty or hostile sender make the C decoder raise
-        # half a dozen unrelated types. Let through, one of them would
-        # end the task group and with it the daemon; as a value it ends
-        # the one link.
+        # On bytes from a faulty or hostile sender, the C decoder raises
+        # half a dozen unrelated exception types. An uncaught one would
+        # cancel the task group and end the daemon; the returned value
+        # closes only this link.
         return Malformed(problem=f'{type(error).__name__}: {error}')
 
 
--- a/packages/mimosamux-wire/mimosamux_wire/fleet_messages.py
+++ b/packages/mimosamux-wire/mimosamux_wire/fleet_messages.py
@@ -1,7 +1,7 @@
-"""What daemons tell each other about endpoints.
+"""Messages with which daemons share the state of endpoints.
 
-Endpoints are named by a 32-bit hash of their id, since an id would take
-half of the bytes. Fields that are None are not sent.
+Digests identify endpoints by a 32-bit hash of their id, because full ids
+would take half of the bytes. Fields that are None are not sent.
 """
 
 from dataclasses import dataclass, field
@@ -14,28 +14,35 @@
 
 @dataclass(kw_only=True, slots=True)
 class EndpointDigest(Message):
-    """News of one endpoint since the digest before."""
+    """Changes of one endpoint since the previous digest."""
 
     endpoint: int = 0
-    """xxh32 of the endpoint's id, as a signed number."""
+    """xxh32 hash of the endpoint's id, as a signed integer."""
     age_ms: int | None = None
-    """Age of the load report; None: there is no new report."""
+    """Age of the load report; None if there is no new report."""
     queued_prefill_tokens: int | None = None
     running: int | None = None
     waiting: int | None = None
     slots: int | None = None
-    """This and the next two are left out while they stay the same."""
+    """Maximum number of requests that the engine runs concurrently.
+
+    This field and the next two are sent only when they change.
+    """
     prefill_tokens_per_s: int | None = None
     decode_interval_us: int | None = None
+    """Time between two tokens of one stream."""
     sent_requests: int | None = None
-    """Requests that the sender of the digest sent there itself."""
+    """Requests that the sender of the digest sent to the endpoint."""
     sent_tokens: int | None = None
+    """Tokens of work in these requests."""
     ended_requests: int | None = None
+    """Requests of the sender that ended at the endpoint."""
     stored: bytes | None = None
-    """Keys of prefix-cache blocks, 5 bytes each, little-endian."""
+    """Keys of added prefix-cache blocks, 5 bytes each, little-endian."""
     evicted: bytes | None = None
+    """Keys of removed prefix-cache blocks, in the same format."""
     doubtful: bool | None = None
-    """Whether cache events of the endpoint were lost; None: as before."""
+    """Whether cache events of the endpoint were lost; None: unchanged."""
 
     thrift_spec: ClassVar[tuple[Any, ...]] = (
         None,
@@ -58,12 +65,14 @@
 
 @dataclass(kw_only=True, slots=True)
 class AccountUse(Message):
-    """What a client account asked for and got at the sender lately."""
+    """A client account's usage at the sender since it last reported it."""
 
     account: int = 0
-    """xxh32 of the account's id, as a signed number."""
+    """xxh32 hash of the account's id, as a signed integer."""
     share_percent: int = 0
+    """Weight of the account in the fair shares, in percent."""
     offered_tokens: int = 0
+    """Tokens of all requests, admitted or not."""
     admitted_tokens: int = 0
 
     thrift_spec: ClassVar[tuple[Any, ...]] = (
@@ -77,17 +86,17 @@
 
 @dataclass(kw_only=True, slots=True)
 class FleetDigest(Message):
-    """News of the endpoints that the sender owns or sent work to."""
+    """State of the endpoints that the sender owns or sent requests to."""
 
     sequence: int = 0
-    """Goes up by one with each digest; a gap means that news were lost."""
+    """Increases by one per digest; a gap means that a digest was lost."""
     interval_ms: int = 0
-    """Time that the sends in it are spread over."""
+    """Period in which the reported requests were sent."""
     full: bool = False
-    """True: it brings everything the sender knows, not just news."""
+    """Whether it holds the full state of the owned endpoints."""
     endpoints: list[EndpointDigest] = field(default_factory=list)
     accounts: list[AccountUse] = field(default_factory=list)
-    """The accounts that asked the sender for the most."""
+    """The accounts that requested the most tokens from the sender."""
 
     thrift_spec: ClassVar[tuple[Any, ...]] = (
         None,
@@ -117,17 +126,18 @@
 
 @dataclass(kw_only=True, slots=True)
 class FullDigestWanted(Message):
-    """Asks a peer to make its next digest a full one."""
+    """Asks a peer for a full digest as its next one."""
 
     thrift_spec: ClassVar[tuple[Any, ...]] = ()
 
 
 @dataclass(kw_only=True, slots=True)
 class LeavingEndpoint(Message):
-    """An endpoint that is to get no new work."""
+    """An endpoint that must get no new requests, as it will shut down."""
 
     endpoint: str = ''
     seconds_left_ms: int = 0
+    """Time until it shuts down, in milliseconds."""
 
     thrift_spec: ClassVar[tuple[Any, ...]] = (
         None,
@@ -138,7 +148,7 @@
 
 @dataclass(kw_only=True, slots=True)
 class LeavingEndpoints(Message):
-    """Endpoints that the sender has just learnt to be leaving."""
+    """Endpoints that the sender has newly marked as leaving."""
 
     endpoints: list[LeavingEndpoint] = field(default_factory=list)
 
--- a/packages/mimosamux-wire/mimosamux_wire/frames.py
+++ b/packages/mimosamux-wire/mimosamux_wire/frames.py
@@ -1,8 +1,9 @@
-"""Frames on a byte stream: four bytes of length, a tag, the payload.
+"""Frames on a byte stream: four bytes of length, a tag and the payload.
 
-On a link that is authenticated by a shared secret each frame carries an
-HMAC over its place in the session, so that nothing can be replayed,
-reordered or put in between. A TLS link has its own and sends no tag.
+On a link that is authenticated by a shared secret, the tag is an HMAC over
+the frame's number in the session and the payload, so that frames cannot be
+replayed, reordered or injected. TLS authenticates its records itself, so
+frames on a TLS link have no tag.
 """
 
 import hashlib
@@ -15,8 +16,8 @@
 
 from mimosamux_wire.envelopes import MAX_MESSAGE_BYTES
 
-LENGTH = struct.Struct('>I')
-PLACE = struct.Struct('>Q')
+LENGTH_FORMAT = struct.Struct('>I')
+FRAME_NUMBER_FORMAT = struct.Struct('>Q')
 TAG_BYTES = 16
 MAX_FRAME_BYTES = MAX_MESSAGE_BYTES + TAG_BYTES
 READ_BYTES = 64 * 1024
@@ -24,27 +25,27 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class LinkClosed:
-    """The link ended, or was ended because of what came in."""
+    """Result of an operation on a link that has ended or must be closed."""
 
     reason: str
 
 
 class FrameWriter:
-    """Seals the payloads of one direction of a link."""
+    """Frames and authenticates the payloads of one direction of a link."""
 
     def __init__(self, *, key: bytes | None) -> None:
         self.key = key
-        self._place = 0
+        self._frame_number = 0
 
     def seal(self, payload: bytes) -> bytes:
-        """Return the frame that carries `payload` next."""
-        tag = _tag(self.key, self._place, payload)
-        self._place += 1
-        return LENGTH.pack(len(tag) + len(payload)) + tag + payload
+        """Return the next frame, with `payload` in it."""
+        tag = _compute_tag(self.key, self._frame_number, payload)
+        self._frame_number += 1
+        return LENGTH_FORMAT.pack(len(tag) + len(payload)) + tag + payload
 
 
 class FrameReader:
-    """Reads and checks the frames of one direction of a link."""
+    """Reads and verifies the frames of one direction of a link."""
 
     def __init__(
         self, *, stream: anyio.abc.ByteReceiveStream, key: bytes | None
@@ -52,33 +53,37 @@
         self.key = key
         self._stream = stream
         self._buffer = bytearray()
-        self._place = 0
+        self._frame_number = 0
 
     async def receive(
         self, *, limit: int = MAX_FRAME_BYTES
     ) -> bytes | LinkClosed:
-        """Return the next payload; frames above `limit` close the link."""
-        header = await self._take(LENGTH.size)
+        """Return the next payload, or why there is none.
+
+        The caller must close the link on an invalid frame or one above
+        `limit` bytes.
+        """
+        header = await self._read_exactly(LENGTH_FORMAT.size)
         if header is None:
             return LinkClosed(reason='ended')
-        (length,) = LENGTH.unpack(header)
+        (length,) = LENGTH_FORMAT.unpack(header)
         if length > limit:
             return LinkClosed(reason=f'frame of {length} bytes is too long')
-        frame = await self._take(length)
+        frame = await self._read_exactly(length)
         if frame is None:
             return LinkClosed(reason='ended within a frame')
-        return self._open(frame)
+        return self._verify(frame)
 
-    def _open(self, frame: bytes) -> bytes | LinkClosed:
+    def _verify(self, frame: bytes) -> bytes | LinkClosed:
         tag_bytes = 0 if self.key is None else TAG_BYTES
         tag, payload = frame[:tag_bytes], frame[tag_bytes:]
-        expected = _tag(self.key, self._place, payload)
+        expected = _compute_tag(self.key, self._frame_number, payload)
         if not hmac.compare_digest(tag, expected):
             return LinkClosed(reason='frame is not of this session')
-        self._place += 1
+        self._frame_number += 1
         return payload
 
-    async def _take(self, count: int) -> bytes | None:
+    async def _read_exactly(self, count: int) -> bytes | None:
         while len(self._buffer) < count:
             try:
                 self._buffer += await self._stream.receive(READ_BYTES)
@@ -91,8 +96,10 @@
         return data
 
 
-def _tag(key: bytes | None, place: int, payload: bytes) -> bytes:
+def _compute_tag(
+    key: bytes | None, frame_number: int, payload: bytes
+) -> bytes:
     if key is None:
         return b''
-    sealed = PLACE.pack(place) + payload
-    return hmac.digest(key, sealed, hashlib.sha256)[:TAG_BYTES]
+    signed = FRAME_NUMBER_FORMAT.pack(frame_number) + payload
+    return hmac.digest(key, signed, hashlib.sha256)[:TAG_BYTES]
--- a/packages/mimosamux-wire/mimosamux_wire/gateway_messages.py
+++ b/packages/mimosamux-wire/mimosamux_wire/gateway_messages.py
@@ -1,4 +1,9 @@
-"""Messages with which daemons share what requests they pass on."""
+"""Messages with which gateway daemons share load, usage and state.
+
+Daemons gossip `StateDigest`s in `StateBatch`es, directly or by way of relay
+daemons. The fields called `lifetime` hold the incarnation of a daemon: a
+number that is drawn at random when its process starts.
+"""
 
 from dataclasses import dataclass, field
 from typing import Any, ClassVar
@@ -10,22 +15,23 @@
 
 
 def _list_of(kind: type[Message]) -> tuple[Any, ...]:
+    """Return the thrift element type of a list of structs."""
     return (TType.STRUCT, [kind, kind.thrift_spec], False)
 
 
 @dataclass(kw_only=True, slots=True)
 class EndpointUse(Message):
-    """What the sender has under way at one endpoint."""
+    """The sender's requests in flight and recent answers at one endpoint."""
 
     endpoint: str = ''
     open_requests: int = 0
     unread_tokens: int = 0
-    """Prompt tokens of requests that have not begun to answer."""
+    """Tokens to prefill for requests whose answers have not begun."""
     ended: int = 0
-    """Requests of the last seconds that were answered, or failed."""
+    """Requests that ended in the last seconds, including failed ones."""
     failed: int = 0
     incarnation: int = 0
-    """Start of the endpoint that is meant, 0: not known."""
+    """Incarnation of the endpoint, 0 if unknown."""
     thrift_spec: ClassVar[tuple[Any, ...]] = (
         None,
         (1, TType.STRING, 'endpoint', 'UTF8', ''),
@@ -39,15 +45,15 @@
 
 @dataclass(kw_only=True, slots=True)
 class EndpointLimit(Message):
-    """What an endpoint has said to the sender of its limit."""
+    """Rate limit that an endpoint reported to the sender."""
 
     endpoint: str = ''
     per_s: float = 0.0
-    """Requests a second that it takes from all daemons, 0: any number."""
+    """Requests per second from all daemons together, 0: unlimited."""
     said_ms: int = 0
-    """When it said so, on the store's clock."""
+    """When the endpoint reported it, in store time."""
     incarnation: int = 0
-    """Start of the endpoint that is meant, 0: not known."""
+    """Incarnation of the endpoint, 0 if unknown."""
     thrift_spec: ClassVar[tuple[Any, ...]] = (
         None,
         (1, TType.STRING, 'endpoint', 'UTF8', ''),
@@ -59,12 +65,13 @@
 
 @dataclass(kw_only=True, slots=True)
 class CapUse(Message):
-    """What the sender let through of an account's cap since it started."""
+    """Use of an account's cap, in the unit of the cap: requests or tokens."""
 
     account: str = ''
     used: int = 0
+    """Use that the sender has admitted since its process started."""
     recent: int = 0
-    """What all daemons let through in the last window, as it knows."""
+    """Use that all daemons admitted in the last window, as far as it knows."""
     thrift_spec: ClassVar[tuple[Any, ...]] = (
         None,
         (1, TType.STRING, 'account', 'UTF8', ''),
@@ -78,6 +85,7 @@
     """Requests of an account that began at the sender in one window."""
 
     window: int = 0
+    """Number of the metering window."""
     account: str = ''
     requests: int = 0
     thrift_spec: ClassVar[tuple[Any, ...]] = (
@@ -90,11 +98,11 @@
 
 @dataclass(kw_only=True, slots=True)
 class ServiceDemand(Message):
-    """Work that callers brought for a service since the sender started."""
+    """Offered load of a service at the sender since its process started."""
 
     service: str = ''
     busy_ms: int = 0
-    """Time for which it keeps one endpoint busy."""
+    """Total time for which the requests would occupy one endpoint."""
     thrift_spec: ClassVar[tuple[Any, ...]] = (
         None,
         (1, TType.STRING, 'service', 'UTF8', ''),
@@ -104,12 +112,13 @@
 
 @dataclass(kw_only=True, slots=True)
 class PartsRead(Message):
-    """Parts of prompts that an endpoint has read for the sender."""
+    """Prompt parts that an endpoint has prefilled for the sender."""
 
     endpoint: str = ''
     parts: list[str] = field(default_factory=list)
+    """Ids of the prompt parts."""
     incarnation: int = 0
-    """Start of the endpoint that read them, 0: not known."""
+    """Incarnation of the endpoint, 0 if unknown."""
     thrift_spec: ClassVar[tuple[Any, ...]] = (
         None,
         (1, TType.STRING, 'endpoint', 'UTF8', ''),
@@ -120,10 +129,10 @@
 
 @dataclass(kw_only=True, slots=True)
 class DigestHeard(Message):
-    """Newest digest of one peer that the sender has taken."""
+    """Acknowledges one daemon's digests, up to the given sequence number."""
 
     lifetime: int = 0
-    """Lifetime of the peer, which stands for its process."""
+    """Incarnation of the daemon whose digests are acknowledged."""
     sequence: int = 0
     thrift_spec: ClassVar[tuple[Any, ...]] = (
         None,
@@ -134,40 +143,43 @@
 
 @dataclass(kw_only=True, slots=True)
 class StateDigest(Message):
-    """How things stand at one daemon; a later one replaces it."""
+    """State of one daemon; a digest with a higher sequence replaces it."""
 
     address: str = ''
-    """Where the sender's peers reach it; also its id."""
+    """Address at which peers reach the daemon; also its id."""
     data_centre: str = ''
     region: str = ''
     entry_address: str = ''
     lifetime: int = 0
-    """Drawn at the start of the process; counters begin with it."""
+    """Incarnation of the daemon; a new one resets all counters."""
     sequence: int = 0
     state: int = 0
+    """Number of the daemon's `MemberState`."""
     configuration_version: int = 0
     lease_fencing: int = 0
-    """Fencing number of the duties' lease, 0: not the holder."""
+    """Fencing token if the daemon holds the duties' lease, else 0."""
     wall_offset_ms: int = 0
-    """Time of day less the store's clock, as the sender sees both."""
+    """Offset of the daemon's wall clock from store time, 0: unknown."""
     endpoints: list[EndpointUse] = field(default_factory=list)
     caps: list[CapUse] = field(default_factory=list)
     windows: list[WindowUse] = field(default_factory=list)
     demands: list[ServiceDemand] = field(default_factory=list)
     parts: list[PartsRead] = field(default_factory=list)
-    """Read since the last digest."""
+    """Prompt parts prefilled since the previous digest."""
     heard: list[DigestHeard] = field(default_factory=list)
-    """Told by daemons that do not send `StateBatch` yet."""
+    """Acknowledgements; only from daemon versions without `StateBatch`."""
     is_relay: bool = False
-    """Whether the sender passes on what other daemons tell."""
+    """Whether the daemon forwards the messages of others."""
     reads_tables: bool = False
-    """Whether the platform's tables answer the sender."""
+    """Whether the daemon can read the platform's tables."""
     rollouts: list[RolloutUse] = field(default_factory=list)
     link_mbps: float = 0.0
-    """Bandwidth of the sender's link, 0: not known."""
+    """Bandwidth of the daemon's network link, 0 if unknown."""
     lease_ended_version: int = 0
-    """Version of the lease's row at which it ended at the sender, which acts
-    no more under it, 0: it did not."""
+    """Row version of a lease that has ended at the daemon, 0: none.
+
+    The daemon no longer performs duties under that lease.
+    """
     limits: list[EndpointLimit] = field(default_factory=list)
     thrift_spec: ClassVar[tuple[Any, ...]] = (
         None,
@@ -198,10 +210,10 @@
 
 @dataclass(kw_only=True, slots=True)
 class GroupHeard(Message):
-    """Digests that each daemon of a group has taken."""
+    """Digests that every daemon of a group has received."""
 
     members: list[int] = field(default_factory=list)
-    """Lifetimes of the daemons for which this stands."""
+    """Incarnations of the daemons in the group."""
     heard: list[DigestHeard] = field(default_factory=list)
     thrift_spec: ClassVar[tuple[Any, ...]] = (
         None,
@@ -212,22 +224,31 @@
 
 @dataclass(kw_only=True, slots=True)
 class StateBatch(Message):
-    """Digests that the sender tells or passes on, and what it has taken."""
+    """Digests that the sender originates or forwards, and acknowledgements.
+
+    A batch leaves out the digests of earlier batches, unless those stay
+    unacknowledged.
+    """
 
     lifetime: int = 0
+    """Incarnation of the sender."""
     number: int = 0
-    """Counts the sender's batches to this receiver."""
+    """Sequence number among the sender's batches to this receiver."""
     after: int = 0
-    """Batch behind which this one leaves nothing out, 0: it is complete."""
+    """Batch that the receiver must have for this one to leave no gap.
+
+    0: the batch is complete by itself.
+    """
     taken_lifetime: int = 0
-    """Lifetime of the receiver whose batches are meant by `taken`."""
+    """Incarnation of the receiver to which `taken` refers."""
     taken: int = 0
-    """Newest batch of the receiver up to which the sender has all."""
+    """Acknowledgement: newest batch received without a gap before it."""
     is_member: bool = False
-    """Whether the receiver is the sender's relay."""
+    """Whether the sender uses the receiver as its relay."""
     digests: list[bytes] = field(default_factory=list)
-    """Encoded `StateDigest`s, passed on as they came."""
+    """Encoded `StateDigest`s, forwarded unchanged."""
     confirmed: list[GroupHeard] = field(default_factory=list)
+    """Acknowledgements of digests on behalf of groups of daemons."""
     thrift_spec: ClassVar[tuple[Any, ...]] = (
         None,
         (1, TType.I64, 'lifetime', None, 0),
@@ -243,13 +264,13 @@
 
 @dataclass(kw_only=True, slots=True)
 class DaemonsKnown(Message):
-    """Peer addresses of every daemon that the sender knows."""
+    """Addresses of all daemons that the sender knows, as parallel lists."""
 
     addresses: list[str] = field(default_factory=list)
     data_centres: list[str] = field(default_factory=list)
-    """Where each of them is, empty: not known."""
+    """Data centre of each daemon, empty if unknown."""
     links_mbps: list[float] = field(default_factory=list)
-    """Bandwidth of their links, 0: not known."""
+    """Bandwidth of each daemon's network link, 0 if unknown."""
     thrift_spec: ClassVar[tuple[Any, ...]] = (
         None,
         (1, TType.LIST, 'addresses', (TType.STRING, 'UTF8', False), None),
@@ -260,13 +281,13 @@
 
 @dataclass(kw_only=True, slots=True)
 class EndpointsLeave(Message):
-    """Endpoints of which the sender has learned that they leave."""
+    """Endpoints that are about to shut down, as parallel lists."""
 
     endpoints: list[str] = field(default_factory=list)
     leave_in_ms: list[int] = field(default_factory=list)
-    """Time left for each of them, -1: not known."""
+    """Time until each endpoint shuts down, -1 if unknown."""
     incarnations: list[int] = field(default_factory=list)
-    """Start of each of them, 0: not known."""
+    """Incarnation of each endpoint, 0 if unknown."""
     thrift_spec: ClassVar[tuple[Any, ...]] = (
         None,
         (1, TType.LIST, 'endpoints', (TType.STRING, 'UTF8', False), None),
@@ -277,10 +298,10 @@
 
 @dataclass(kw_only=True, slots=True)
 class Vouch(Message):
-    """Asks up to when the receiver knows its configuration as newest."""
+    """Asks how fresh the receiver's configuration is."""
 
     version: int = 0
-    """Version that the sender has in force."""
+    """Configuration version in force at the sender."""
     thrift_spec: ClassVar[tuple[Any, ...]] = (
         None,
         (1, TType.I64, 'version', None, 0),
@@ -289,12 +310,13 @@
 
 @dataclass(kw_only=True, slots=True)
 class Vouched(Message):
-    """Version in force, its age, and the document if the asker lags."""
+    """Answer to `Vouch`: the configuration in force and its freshness."""
 
     version: int = 0
     age_ms: int = 0
-    """Time since the platform confirmed that no newer one existed."""
+    """Time since the platform confirmed that no newer version existed."""
     document: bytes = b''
+    """The configuration; empty unless the asker's version is older."""
     thrift_spec: ClassVar[tuple[Any, ...]] = (
         None,
         (1, TType.I64, 'version', None, 0),
@@ -305,7 +327,7 @@
 
 @dataclass(kw_only=True, slots=True)
 class TableRow(Message):
-    """A row of a table of the platform."""
+    """A row of one of the platform's tables."""
 
     key: str = ''
     value: bytes = b''
@@ -322,21 +344,24 @@
 
 @dataclass(kw_only=True, slots=True)
 class TableNews(Message):
-    """What the sender has read of a table; daemons pass it on."""
+    """View of a table as read by one daemon; relays forward it."""
 
     table: str = ''
     version: int = 0
-    """Version of the store up to which it was read."""
+    """Version of the store at which the table was read."""
     changed: int = 0
-    """Version of the table's newest change."""
+    """Version of the latest change to the table."""
     behind: int = 0
-    """Version of the change before `rows`."""
+    """Version of the change that precedes `rows`."""
     rows: list[TableRow] = field(default_factory=list)
-    """Changes behind that one, none: they have to be read."""
+    """Changes after `behind`; if empty, receivers must read the table."""
     as_of_ms: int = 0
-    """Up to when these are all, on the store's clock."""
+    """When the view was current, in store time."""
     may_have_lapsed: bool = False
-    """Whether rows may be missing that live writers could not renew."""
+    """Whether rows of live writers may be missing because of an outage.
+
+    During an outage, writers cannot renew their rows.
+    """
     thrift_spec: ClassVar[tuple[Any, ...]] = (
         None,
         (1, TType.STRING, 'table', 'UTF8', ''),
@@ -351,14 +376,15 @@
 
 @dataclass(kw_only=True, slots=True)
 class CapLoanWanted(Message):
-    """Asks a peer for a share of its part of a cap, for a while."""
+    """Asks a peer for a temporary loan from its allotment of a usage cap."""
 
     account: str = ''
     lifetime: int = 0
+    """Incarnation of the borrower."""
     number: int = 0
-    """Names the loan among those of the sender's process."""
+    """Number of the loan, unique within the incarnation."""
     share: float = 0.0
-    """How much of the receiver's part is wanted, 1: all of it."""
+    """Requested fraction of the receiver's allotment, 0 to 1."""
     thrift_spec: ClassVar[tuple[Any, ...]] = (
         None,
         (1, TType.STRING, 'account', 'UTF8', ''),
@@ -370,7 +396,7 @@
 
 @dataclass(kw_only=True, slots=True)
 class CapLoan(Message):
-    """How much of its part the sender leaves to the one that asked."""
+    """Answer to `CapLoanWanted`: the fraction of the allotment lent."""
 
     share: float = 0.0
     thrift_spec: ClassVar[tuple[Any, ...]] = (
@@ -381,7 +407,7 @@
 
 @dataclass(kw_only=True, slots=True)
 class CapLoanReturned(Message):
-    """Gives back what was borrowed of a cap."""
+    """Returns a loan; the fields identify it as in `CapLoanWanted`."""
 
     account: str = ''
     lifetime: int = 0
--- a/packages/mimosamux-wire/mimosamux_wire/link_messages.py
+++ b/packages/mimosamux-wire/mimosamux_wire/link_messages.py
@@ -1,4 +1,4 @@
-"""Messages with which two daemons open a link."""
+"""Handshake messages that authenticate a link between two daemons."""
 
 from dataclasses import dataclass
 from typing import Any, ClassVar
@@ -12,11 +12,13 @@
 
 @dataclass(kw_only=True, slots=True)
 class LinkHello(Message):
-    """First frame of each side: who it says it is, and its challenge."""
+    """First frame of each side: the id that it claims and its challenge."""
 
     daemon: str = ''
     nonce: bytes = b''
+    """Random challenge to the other side."""
     protocol: int = 0
+    """Version of the link protocol."""
     thrift_spec: ClassVar[tuple[Any, ...]] = (
         None,
         (1, TType.STRING, 'daemon', 'UTF8', ''),
@@ -27,7 +29,7 @@
 
 @dataclass(kw_only=True, slots=True)
 class LinkProof(Message):
-    """Second frame of each side: answer to the other's challenge."""
+    """Second frame of each side: proof that it knows the shared secret."""
 
     proof: bytes = b''
     thrift_spec: ClassVar[tuple[Any, ...]] = (
--- a/packages/mimosamux-wire/mimosamux_wire/membership_messages.py
+++ b/packages/mimosamux-wire/mimosamux_wire/membership_messages.py
@@ -1,4 +1,4 @@
-"""Messages with which daemons know of each other."""
+"""Messages of the membership protocol of daemons and data centres."""
 
 from dataclasses import dataclass, field
 from typing import Any, ClassVar
@@ -9,19 +9,22 @@
 
 
 def _list_of(kind: type[Message]) -> tuple[Any, ...]:
+    """Return the thrift element type of a list of structs."""
     return (TType.STRUCT, [kind, kind.thrift_spec], False)
 
 
 @dataclass(kw_only=True, slots=True)
 class MemberRecord(Message):
-    """A daemon as it describes itself, or as another one knows it."""
+    """A daemon, as described by itself or by another daemon."""
 
     id: str = ''
     data_centre: str = ''
     address: str = ''
     caller_address: str = ''
+    """Address at which callers reach the daemon."""
     incarnation: int = 0
     state: int = 0
+    """Number of the daemon's `MemberState`."""
     thrift_spec: ClassVar[tuple[Any, ...]] = (
         None,
         (1, TType.STRING, 'id', 'UTF8', ''),
@@ -35,19 +38,20 @@
 
 @dataclass(kw_only=True, slots=True)
 class DataCentreSummary(Message):
-    """What other data centres are told about one, in brief."""
+    """Summary of a data centre, sent to the other data centres."""
 
     data_centre: str = ''
     age_ms: int = 0
-    """Time since a daemon of that data centre stated this."""
+    """Time since a daemon of that data centre made the summary."""
     configuration_version: int = 0
     lowest_version: int = 0
-    """Version that all its ready daemons hold; -1: none is ready."""
+    """Lowest version among its ready daemons; -1 if none is ready."""
     members_digest: int = 0
-    """Hash of the member records; a new one is worth a fetch."""
+    """Hash of the member records; if it changes, receivers fetch them."""
     load: int = 0
+    """Mean load of its ready daemons, in thousandths of capacity."""
     distance_us: int = 0
-    """Round trip that the sender measured to it; 0: to itself."""
+    """Round-trip time from the sender, 0 if unknown or its own."""
     thrift_spec: ClassVar[tuple[Any, ...]] = (
         None,
         (1, TType.STRING, 'data_centre', 'UTF8', ''),
@@ -62,16 +66,16 @@
 
 @dataclass(kw_only=True, slots=True)
 class Heartbeat(Message):
-    """Sign of life to the daemons of the same data centre."""
+    """Periodic heartbeat to the daemons of the same data centre."""
 
     sender: MemberRecord = field(default_factory=MemberRecord)
     configuration_version: int = 0
     load: int = 0
-    """Share of the daemon's capacity that is in use, in thousandths."""
+    """Used part of the daemon's capacity, in thousandths."""
     suspects: list[str] = field(default_factory=list)
-    """Daemons that the sender has not heard from in time."""
+    """Ids of the daemons that the sender suspects of having failed."""
     summaries: list[DataCentreSummary] = field(default_factory=list)
-    """Other data centres to which the sender keeps a link."""
+    """Summaries of the data centres to which the sender has a link."""
     thrift_spec: ClassVar[tuple[Any, ...]] = (
         None,
         (
@@ -90,7 +94,7 @@
 
 @dataclass(kw_only=True, slots=True)
 class SummaryExchange(Message):
-    """Summary of the sender's data centre; answered by the other's."""
+    """Summary of the sender's data centre; the answer is the receiver's."""
 
     sender: MemberRecord = field(default_factory=MemberRecord)
     summary: DataCentreSummary = field(default_factory=DataCentreSummary)
@@ -115,7 +119,7 @@
 
 @dataclass(kw_only=True, slots=True)
 class MembersFetch(Message):
-    """Asks for the members of a data centre, or of all with ''."""
+    """Asks for the members of a data centre, or of all if it is empty."""
 
     sender: MemberRecord = field(default_factory=MemberRecord)
     data_centre: str = ''
@@ -134,7 +138,7 @@
 
 @dataclass(kw_only=True, slots=True)
 class MembersKnown(Message):
-    """Answer to a fetch: member records and the digest they make."""
+    """Answer to `MembersFetch`: member records and summaries."""
 
     members: list[MemberRecord] = field(default_factory=list)
     summaries: list[DataCentreSummary] = field(default_factory=list)
@@ -147,9 +151,10 @@
 
 @dataclass(kw_only=True, slots=True)
 class Superseded(Message):
-    """Tells a daemon that a newer process runs under its name."""
+    """Tells a daemon that a newer incarnation of it is running."""
 
     incarnation: int = 0
+    """The newer incarnation."""
     thrift_spec: ClassVar[tuple[Any, ...]] = (
         None,
         (1, TType.I64, 'incarnation', None, 0),
--- a/packages/mimosamux-wire/mimosamux_wire/messages.py
+++ b/packages/mimosamux-wire/mimosamux_wire/messages.py
@@ -1,7 +1,7 @@
-"""Base of the thrift structs that daemons send to each other.
+"""Base class of the thrift structs that daemons send to each other.
 
-Each message is a data class whose `thrift_spec` the thrift library reads;
-`mimosamux.thrift` states the same structs for other languages.
+Each message is a dataclass. The thrift library encodes and decodes it by its
+`thrift_spec`; `mimosamux.thrift` defines the same structs for other languages.
 """
 
 from dataclasses import dataclass
@@ -11,29 +11,30 @@
 from thrift.Thrift import TType
 
 MESSAGES_BY_NAME: dict[str, type['Message']] = {}
-"""Every known kind of message by the name that frames carry."""
+"""All message classes, by the message name on the link."""
 
 
 class Message(TBase):  # type: ignore[misc]
     """A struct that can be sent; every field has a default.
 
-    An older daemon leaves out fields that it does not know, and skips
-    those of a newer one, so two versions can run beside each other.
+    An older daemon does not send the fields that it does not know, and
+    skips them when a newer one sends them. Daemons of two versions can
+    therefore exchange messages.
     """
 
     __slots__ = ()
     thrift_spec: ClassVar[tuple[Any, ...]] = ()
 
     def __init_subclass__(cls) -> None:
-        """Make the kind known by its name."""
-        # `dataclass(slots=True)` makes the class a second time; the
-        # later one is the one that callers hold.
+        """Register the message class under its name."""
+        # `dataclass(slots=True)` creates the class a second time. The
+        # second class replaces the first here, as callers use only that.
         MESSAGES_BY_NAME[cls.__name__] = cls
 
 
 @dataclass(kw_only=True, slots=True, eq=True)
 class Acknowledged(Message):
-    """Answer of a peer that has taken a message."""
+    """Answer of a peer that has accepted a message."""
 
     thrift_spec: ClassVar[tuple[Any, ...]] = ()
 
--- a/packages/mimosamux-wire/mimosamux_wire/mimosamux.thrift
+++ b/packages/mimosamux-wire/mimosamux_wire/mimosamux.thrift
@@ -1,9 +1,10 @@
 // Messages between mimosamux daemons.
 //
-// A message travels as a thrift message (compact protocol) whose name is the
-// name of its struct, in a frame of four bytes of length (big endian), the
-// frame's tag if the link is authenticated by a shared secret, and the bytes.
-// Every field is optional for a reader; numbers are never used again.
+// Each message is sent as a thrift message (compact protocol) whose name is
+// the name of its struct. A frame holds one message: four bytes of length (big
+// endian), the frame's tag if the link is authenticated by a shared secret, and
+// the encoded message. Readers treat every field as optional. Field numbers are
+// never reused.
 
 namespace py mimosamux_wire
 
--- a/packages/mimosamux-wire/mimosamux_wire/planning_messages.py
+++ b/packages/mimosamux-wire/mimosamux_wire/planning_messages.py
@@ -1,4 +1,7 @@
-"""Messages with which planners share demand and what it leads to."""
+"""Messages with which capacity planners share demand and decisions.
+
+Each data centre has one planner, which decides what VMs it runs.
+"""
 
 from dataclasses import dataclass, field
 from typing import Any, ClassVar
@@ -9,18 +12,21 @@
 
 
 def _list_of(kind: type[Message]) -> tuple[Any, ...]:
+    """Return the thrift element type of a list of structs."""
     return (TType.STRUCT, [kind, kind.thrift_spec], False)
 
 
 @dataclass(kw_only=True, slots=True)
 class DemandRecord(Message):
-    """Demand of one class for one model."""
+    """Demand of one work class for one model."""
 
     model: str = ''
     work_class: str = ''
     requests_per_s: float = 0.0
     prompt_tokens: float = 0.0
+    """Mean number of uncached prompt tokens of a request."""
     answer_tokens: float = 0.0
+    """Mean number of tokens of an answer."""
     thrift_spec: ClassVar[tuple[Any, ...]] = (
         None,
         (1, TType.STRING, 'model', 'UTF8', ''),
@@ -33,13 +39,15 @@
 
 @dataclass(kw_only=True, slots=True)
 class RateRecord(Message):
-    """How fast a replica of a model works on a machine class."""
+    """Speed of one replica of a model on a machine class."""
 
     model: str = ''
     machine_class: str = ''
     prefill_tokens_per_s: float = 0.0
     decode_interval_s: float = 0.0
+    """Time between two tokens of one stream."""
     slots: int = 0
+    """Maximum number of requests that the engine runs concurrently."""
     thrift_spec: ClassVar[tuple[Any, ...]] = (
         None,
         (1, TType.STRING, 'model', 'UTF8', ''),
@@ -52,7 +60,7 @@
 
 @dataclass(kw_only=True, slots=True)
 class OfferRecord(Message):
-    """A kind of VM in the data centre that the summary is of."""
+    """A kind of VM that the cloud offers in the summary's data centre."""
 
     machine_class: str = ''
     market: str = ''
@@ -71,11 +79,11 @@
     machine_class: str = ''
     market: str = ''
     running: int = 0
-    """There to stay, those that are starting included."""
+    """VMs not being drained, including those that are starting."""
     live: int = 0
-    """Those of them that serve."""
+    """The running VMs that serve requests."""
     paid: int = 0
-    """All that are paid for, those being drained included."""
+    """All VMs that cost money, including those being drained."""
     thrift_spec: ClassVar[tuple[Any, ...]] = (
         None,
         (1, TType.STRING, 'model', 'UTF8', ''),
@@ -89,18 +97,18 @@
 
 @dataclass(kw_only=True, slots=True)
 class PlanningSummary(Message):
-    """What the other planners need to know of a data centre."""
+    """State of a data centre, for the planners of the other data centres."""
 
     data_centre: str = ''
     fencing: int = 0
-    """Number of the planner's lease; then `sequence` counts anew."""
+    """Fencing token of the planner's lease; `sequence` restarts with it."""
     sequence: int = 0
     demands: list[DemandRecord] = field(default_factory=list)
     rates: list[RateRecord] = field(default_factory=list)
     refused: list[OfferRecord] = field(default_factory=list)
-    """Offers that had no VM to give a short time ago."""
+    """Offers for which the cloud recently refused to create a VM."""
     stopping: list[str] = field(default_factory=list)
-    """VMs that are being drained."""
+    """Ids of the VMs that are being drained."""
     counts: list[CountRecord] = field(default_factory=list)
     thrift_spec: ClassVar[tuple[Any, ...]] = (
         None,
@@ -117,12 +125,13 @@
 
 @dataclass(kw_only=True, slots=True)
 class ShortfallRecord(Message):
-    """A class whose target costs more than its ceiling."""
+    """A work class whose latency target costs more than its ceiling."""
 
     work_class: str = ''
     needed_per_hour: float = 0.0
     ceiling_per_hour: float = 0.0
     admitted_share: float = 0.0
+    """Fraction of its requests to admit."""
     thrift_spec: ClassVar[tuple[Any, ...]] = (
         None,
         (1, TType.STRING, 'work_class', 'UTF8', ''),
@@ -134,7 +143,7 @@
 
 @dataclass(kw_only=True, slots=True)
 class PlanTold(Message):
-    """The planner tells a daemon of its data centre what it decided."""
+    """The planner's decision, sent to the daemons of its data centre."""
 
     summary: PlanningSummary = field(default_factory=PlanningSummary)
     shortfalls: list[ShortfallRecord] = field(default_factory=list)
@@ -153,11 +162,11 @@
 
 @dataclass(kw_only=True, slots=True)
 class DemandTold(Message):
-    """Answer of a daemon: its demand, and what it heard from elsewhere."""
+    """Answer to `PlanTold`: demand at the daemon, and remote summaries."""
 
     demands: list[DemandRecord] = field(default_factory=list)
     summaries: list[PlanningSummary] = field(default_factory=list)
-    """Summaries of other data centres that it got since the last time."""
+    """Summaries from other data centres, new since the last answer."""
     thrift_spec: ClassVar[tuple[Any, ...]] = (
         None,
         (1, TType.LIST, 'demands', _list_of(DemandRecord), None),
--- a/packages/mimosamux-wire/mimosamux_wire/rollout_messages.py
+++ b/packages/mimosamux-wire/mimosamux_wire/rollout_messages.py
@@ -1,4 +1,4 @@
-"""Messages about a new version of a service that is brought in."""
+"""Messages about roll-outs: gradual changes of a service to a new version."""
 
 from dataclasses import dataclass, field
 from typing import Any, ClassVar
@@ -10,16 +10,22 @@
 
 @dataclass(kw_only=True, slots=True)
 class TrialTally(Message):
-    """Answers at the sender since the roll-out began, of one kind."""
+    """Counts of the sender's answers since the roll-out began.
+
+    Each tally covers one route, and one endpoint of the new version or all
+    endpoints of other versions.
+    """
 
     endpoint: str = ''
-    """Endpoint of the new version, empty: all of the other versions."""
+    """Endpoint of the new version; empty: all of other versions."""
     route: str = ''
     answers: int = 0
     failed: int = 0
     slower: list[int] = field(default_factory=list)
-    """Answers that took several times as long as expected, one count for
-    each of the sender's factors."""
+    """Answers slower than expected by a factor.
+
+    One count for each of the sender's factors.
+    """
     thrift_spec: ClassVar[tuple[Any, ...]] = (
         None,
         (1, TType.STRING, 'endpoint', 'UTF8', ''),
@@ -32,19 +38,19 @@
 
 @dataclass(kw_only=True, slots=True)
 class RolloutUse(Message):
-    """What the sender has seen of one roll-out."""
+    """The sender's requests and answers in one roll-out."""
 
     service: str = ''
     number: int = 0
-    """Names the order among those for the service."""
+    """Number of the roll-out order among those for the service."""
     step: int = 0
-    """Newest step that the sender has put in force."""
+    """Newest step in force at the sender."""
     requests: int = 0
-    """Sends to endpoints of the service since the sender knows of it."""
+    """Requests sent to any version since the roll-out began."""
     trials: int = 0
-    """Those of them that went to the new version."""
+    """The requests of these that were sent to the new version."""
     open_elsewhere: int = 0
-    """Requests under way at endpoints of other versions."""
+    """Requests in flight at endpoints of other versions."""
     tallies: list[TrialTally] = field(default_factory=list)
     thrift_spec: ClassVar[tuple[Any, ...]] = (
         None,
@@ -66,24 +72,25 @@
 
 @dataclass(kw_only=True, slots=True)
 class RolloutTold(Message):
-    """How far a roll-out is, as the holder of the duties wrote it down."""
+    """Order and progress of a roll-out, as recorded by the lease holder."""
 
     service: str = ''
     version: str = ''
     number: int = 0
     within_ms: int = 0
+    """Time limit for the roll-out."""
     stage: str = ''
     step: int = 0
-    """Grows with each change of the stage."""
+    """Increases with each change of the stage."""
     began_at_ms: int = 0
-    """When the order was first seen, on the store's clock."""
+    """When the order was first seen, in store time."""
     held_back: list[str] = field(default_factory=list)
-    """Versions that were not proven, and get nothing."""
+    """Unapproved versions of earlier orders, which get no requests."""
     reason: str = ''
     word: int = 0
-    """Counts what the holder says within one step."""
+    """Sequence number of `share` within the step."""
     share: float = 0.0
-    """Share of the requests that the new version may get for now."""
+    """Largest fraction of requests to send to the new version."""
     thrift_spec: ClassVar[tuple[Any, ...]] = (
         None,
         (1, TType.STRING, 'service', 'UTF8', ''),
--- a/packages/mimosamux-wire/mimosamux_wire/serving_messages.py
+++ b/packages/mimosamux-wire/mimosamux_wire/serving_messages.py
@@ -1,4 +1,4 @@
-"""Messages with which a daemon hands accepted requests to a peer."""
+"""Messages with which a stopping daemon hands requests over to a peer."""
 
 from dataclasses import dataclass, field
 from typing import Any, ClassVar
@@ -10,10 +10,10 @@
 
 @dataclass(kw_only=True, slots=True)
 class HandOver(Message):
-    """An accepted model request and its answer so far.
+    """An accepted model request with the tokens answered so far.
 
-    `parameters` is JSON; `idempotency_key` is empty for none. The answer
-    to this message is a `HandOverReply`.
+    `parameters` is JSON; `idempotency_key` is empty if the request has
+    none. The answer to this message is a `HandOverReply`.
     """
 
     request: str = ''
@@ -45,10 +45,10 @@
 
 @dataclass(kw_only=True, slots=True)
 class HandOverReply(Message):
-    """Whether the peer goes on with the request.
+    """Answer to `HandOver`: whether the peer continues the request.
 
-    `recorded` tells that its journal has the request, so that the daemon
-    which handed it over may drop its own entry.
+    If `recorded` is true, the peer's journal holds the request, and the
+    sender of the hand-over may delete its own journal entry.
     """
 
     taken: bool = False
@@ -64,9 +64,10 @@
 
 @dataclass(kw_only=True, slots=True)
 class HandOverWithdrawn(Message):
-    """The sender goes on with a request itself; its offer got no answer.
+    """Withdraws a hand-over that got no answer.
 
-    A peer that took it all the same stops, unless a caller reads there.
+    The sender continues the request itself. A peer that accepted it
+    nevertheless drops it, unless a caller is reading its answer there.
     """
 
     request: str = ''
