--- a/packages/mimosamux-wire/mimosamux_wire/envelopes.py
+++ b/packages/mimosamux-wire/mimosamux_wire/envelopes.py
@@ -14,7 +14,9 @@
 
 MAX_MESSAGE_BYTES = 4 * 1024 * 1024
 MAX_CONTAINER_ITEMS = 100_000
+"""Largest number of items in a received list."""
 MAX_SEQUENCE = 2**31 - 1
+"""Largest sequence number; thrift sends it as a signed 32-bit integer."""
 
 
 class EnvelopeType(IntEnum):
@@ -44,7 +46,7 @@
 
 
 def encode(message: Message, kind: EnvelopeType, sequence: int) -> bytes:
-    """Return the message as an encoded thrift message."""
+    """Return the bytes of a thrift message that carries `message`."""
     buffer = TMemoryBuffer()
     protocol = _protocol(buffer)
     protocol.writeMessageBegin(type(message).__name__, kind, sequence)
--- a/packages/mimosamux-wire/mimosamux_wire/fleet_messages.py
+++ b/packages/mimosamux-wire/mimosamux_wire/fleet_messages.py
@@ -65,7 +65,7 @@
 
 @dataclass(kw_only=True, slots=True)
 class AccountUse(Message):
-    """A client account's usage at the sender since it last reported it."""
+    """Usage of a client account at the sender since its last report."""
 
     account: int = 0
     """xxh32 hash of the account's id, as a signed integer."""
--- a/packages/mimosamux-wire/mimosamux_wire/gateway_messages.py
+++ b/packages/mimosamux-wire/mimosamux_wire/gateway_messages.py
@@ -150,6 +150,7 @@
     data_centre: str = ''
     region: str = ''
     entry_address: str = ''
+    """Address at which callers reach the daemon."""
     lifetime: int = 0
     """Incarnation of the daemon; a new one resets all counters."""
     sequence: int = 0
--- a/packages/mimosamux-wire/mimosamux_wire/planning_messages.py
+++ b/packages/mimosamux-wire/mimosamux_wire/planning_messages.py
@@ -129,9 +129,10 @@
 
     work_class: str = ''
     needed_per_hour: float = 0.0
+    """Cost per hour of meeting the latency target."""
     ceiling_per_hour: float = 0.0
     admitted_share: float = 0.0
-    """Fraction of its requests to admit."""
+    """Fraction of its requests that the ceiling covers."""
     thrift_spec: ClassVar[tuple[Any, ...]] = (
         None,
         (1, TType.STRING, 'work_class', 'UTF8', ''),
--- a/packages/mimosamux-wire/mimosamux_wire/rollout_messages.py
+++ b/packages/mimosamux-wire/mimosamux_wire/rollout_messages.py
@@ -72,7 +72,7 @@
 
 @dataclass(kw_only=True, slots=True)
 class RolloutTold(Message):
-    """Order and progress of a roll-out, as recorded by the lease holder."""
+    """Order and progress of a roll-out, sent by the lease holder."""
 
     service: str = ''
     version: str = ''
