--- a/tests/test_platform_input.py
+++ b/tests/test_platform_input.py
@@ -27,9 +27,9 @@
 )
 from mimosamux_daemon.ports.feeds import FeedNews, HistoryLost, Unreadable
 from mimosamux_platform.documents import parse_configuration, parse_endpoint
-from mimosamux_platform.front import read_request
 from mimosamux_platform.http_calls import PlatformCalls
 from mimosamux_platform.replicas import ReplicaCalls
+from mimosamux_platform.request_handler import parse_request
 from mimosamux_platform.store import StoreFeed
 from mimosamux_standins.site import StandInReplica
 
@@ -469,7 +469,7 @@
             target=b'/x',
             headers=((b'Host', b'Site.Example:80'), *headers),
         )
-        return read_request(IncomingRequest(head=head, body=b''), 7.0)
+        return parse_request(IncomingRequest(head=head, body=b''), 7.0)
 
     def test_headers_that_are_the_systems_own_stay_behind(self):
         """A caller sends headers that only the system may set.
