--- a/packages/mimosamux-cli/mimosamux_cli/__init__.py
+++ b/packages/mimosamux-cli/mimosamux_cli/__init__.py
@@ -1,4 +1,4 @@
-"""Command line of mimosamux, for operators and callers."""
+"""Command-line client of mimosamux for operators and callers."""
 
 from mimosamux_cli.core import main
 
--- a/packages/mimosamux-cli/mimosamux_cli/__main__.py
+++ b/packages/mimosamux-cli/mimosamux_cli/__main__.py
@@ -1,4 +1,4 @@
-"""Starts the program `mimosamux`."""
+"""Entry point of the command `mimosamux`."""
 
 import sys
 
@@ -8,7 +8,7 @@
 
 
 def program() -> None:
-    """Run with the arguments of the command line."""
+    """Run `mimosamux` with the command-line arguments and exit."""
     sys.exit(main(sys.argv[1:], Environment()))
 
 
--- a/packages/mimosamux-cli/mimosamux_cli/commands.py
+++ b/packages/mimosamux-cli/mimosamux_cli/commands.py
@@ -1,6 +1,6 @@
 """The commands of `mimosamux`, one method each.
 
-The docstrings are what `--help` shows.
+The help pages (`--help`) show the docstrings of the class and its methods.
 """
 
 from typing import Any
@@ -16,10 +16,10 @@
 from mimosamux_cli.groups import CommandGroup
 from mimosamux_cli.output import as_time, write_json, write_table
 from mimosamux_cli.service_caller import ServiceCaller
-from mimosamux_cli.stories import read_log, tell_story
+from mimosamux_cli.stories import read_log, select_request_lines
 
 KEY_VARIABLE = 'MIMOSAMUX_KEY'
-AUDIT_DEFAULT_S = 86_400.0
+DEFAULT_AUDIT_PERIOD_S = 86_400.0
 
 
 class Commands(CommandGroup):
@@ -86,7 +86,7 @@
         Example: mimosamux audit --kind vm --limit 10
         """
         if since is None:
-            since = self._env.wall_clock() - AUDIT_DEFAULT_S
+            since = self._env.wall_clock() - DEFAULT_AUDIT_PERIOD_S
         entries = self._operator(entry).read_audit(
             kind=kind, who=who, since=since
         )[-limit:]
@@ -138,10 +138,10 @@
             addresses=self._addresses(entry, headers),
             headers=headers,
             sleep=self._env.sleep,
-            note=self._note,
+            on_notice=self._print_notice,
         )
         if stream:
-            caller.show = self._write
+            caller.on_text = self._write
         answer = caller.complete(
             {
                 'model': model,
@@ -208,14 +208,14 @@
         if not files:
             raise UsageError('explain: name the log files to read')
         lines = [line for file in files for line in read_log(str(file))]
-        story = tell_story(str(request), lines)
-        if not story:
+        selected = select_request_lines(str(request), lines)
+        if not selected:
             raise NotFoundError(
                 f'no line about request {request} in {len(lines)} events of '
                 f'{", ".join(map(str, files))}; a daemon under load leaves '
                 'lines out, see left_out= and lines_lost= there'
             )
-        for line in story:
+        for line in selected:
             self._write(f'{line.source}: {line.text}\n')
 
     def _key_headers(self) -> dict[str, str]:
--- a/packages/mimosamux-cli/mimosamux_cli/core.py
+++ b/packages/mimosamux-cli/mimosamux_cli/core.py
@@ -1,4 +1,4 @@
-"""The program `mimosamux`."""
+"""Runs a `mimosamux` command and maps its errors to exit statuses."""
 
 from collections.abc import Sequence
 
@@ -12,15 +12,15 @@
 
 
 def main(args: Sequence[str], env: Environment) -> ExitStatus:
-    """Run the program and return its exit status."""
+    """Run one command and return the exit status of the process."""
     try:
         fire.Fire(Commands(env=env), command=list(args), name='mimosamux')
     except CommandError as error:
-        return _fail(env, error, error.status)
+        return _report_error(env, error, error.status)
     except InvalidInput as error:
-        return _fail(env, error, ExitStatus.INVALID_INPUT)
+        return _report_error(env, error, ExitStatus.INVALID_INPUT)
     except OSError as error:
-        return _fail(env, error, ExitStatus.ERROR)
+        return _report_error(env, error, ExitStatus.ERROR)
     except fire.core.FireExit as error:
         return ExitStatus.USAGE if error.code else ExitStatus.SUCCESS
     except KeyboardInterrupt:
@@ -28,7 +28,7 @@
     return ExitStatus.SUCCESS
 
 
-def _fail(
+def _report_error(
     env: Environment, error: Exception, status: ExitStatus
 ) -> ExitStatus:
     print(f'mimosamux: {error}', file=env.stderr)
--- a/packages/mimosamux-cli/mimosamux_cli/documents.py
+++ b/packages/mimosamux-cli/mimosamux_cli/documents.py
@@ -1,4 +1,4 @@
-"""YAML documents that operators pass, and differences between two."""
+"""Reads, formats and compares YAML documents."""
 
 import difflib
 import pathlib
@@ -10,7 +10,7 @@
 
 
 def read_document(path: str) -> dict[str, Any]:
-    """Return the mapping that a YAML file holds."""
+    """Return the top-level mapping of a YAML file."""
     try:
         document = yaml.safe_load(pathlib.Path(path).read_text())
     except yaml.YAMLError as error:
@@ -21,7 +21,7 @@
 
 
 def parse_value(text: Any) -> Any:
-    """Return the YAML value of a text; other values stay as they are."""
+    """Parse a string as YAML; return any other value unchanged."""
     return yaml.safe_load(text) if isinstance(text, str) else text
 
 
@@ -31,7 +31,7 @@
 
 
 def diff_documents(old: Any, new: Any, name: str) -> str:
-    """Return the unified difference of two documents."""
+    """Return the unified diff between the YAML forms of two documents."""
     lines = difflib.unified_diff(
         as_yaml(old).splitlines(keepends=True),
         as_yaml(new).splitlines(keepends=True),
--- a/packages/mimosamux-cli/mimosamux_cli/errors.py
+++ b/packages/mimosamux-cli/mimosamux_cli/errors.py
@@ -1,39 +1,39 @@
-"""Why a command ends without success, with its exit status."""
+"""Errors that end a command, each with its exit status."""
 
 from mimosamux_daemon.errors import MimosamuxError
 from mimosamux_daemon.status import ExitStatus
 
 
 class CommandError(MimosamuxError):
-    """A command that ends with a message and this exit status."""
+    """Base class of errors; the message is printed to standard error."""
 
     status = ExitStatus.ERROR
 
 
 class UsageError(CommandError):
-    """The command was called wrongly."""
+    """The command-line arguments are invalid."""
 
     status = ExitStatus.USAGE
 
 
 class InvalidFile(CommandError):
-    """A file that was passed is not valid."""
+    """A file is malformed, or a daemon rejected the data as invalid."""
 
     status = ExitStatus.INVALID_INPUT
 
 
 class NotFoundError(CommandError):
-    """What was asked for is not in the files that were named."""
+    """The given files contain nothing about the requested item."""
 
 
 class ConflictError(CommandError):
-    """Somebody else changed the same thing first."""
+    """A concurrent change was accepted first."""
 
     status = ExitStatus.CONFLICT
 
 
 class UnavailableError(CommandError):
-    """No daemon could be reached, or the platform's service is down."""
+    """No daemon, or no service of the platform, could be reached."""
 
     status = ExitStatus.UNAVAILABLE
 
@@ -45,6 +45,6 @@
 
 
 class UnknownOutcomeError(CommandError):
-    """Nobody can tell whether the call ran."""
+    """It cannot be determined whether the call ran."""
 
     status = ExitStatus.UNKNOWN_OUTCOME
--- a/packages/mimosamux-cli/mimosamux_cli/events.py
+++ b/packages/mimosamux-cli/mimosamux_cli/events.py
@@ -1,4 +1,4 @@
-"""Server-sent events as a caller reads them."""
+"""Parser for server-sent events (SSE)."""
 
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass
@@ -6,7 +6,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ServerSentEvent:
-    """One event; `name` is `message` unless the server named it."""
+    """One event; `name` is `message` if the server gives no event type."""
 
     name: str
     id: str
@@ -14,7 +14,7 @@
 
 
 def read_events(lines: Iterable[str]) -> Iterator[ServerSentEvent]:
-    """Yield the whole events of a stream; a part at its end is dropped."""
+    """Yield the complete events of a stream; drop an incomplete last one."""
     fields: dict[str, str] = {}
     for line in lines:
         if line:
--- a/packages/mimosamux-cli/mimosamux_cli/groups.py
+++ b/packages/mimosamux-cli/mimosamux_cli/groups.py
@@ -1,4 +1,4 @@
-"""What every group of commands works with."""
+"""Base class of command groups: API clients and output streams."""
 
 from mimosamux_daemon.context import Environment
 
@@ -10,7 +10,7 @@
 
 
 class CommandGroup:
-    """Base of a group; its public methods are the commands."""
+    """Base class of a command group; its public methods are commands."""
 
     def __init__(self, *, env: Environment) -> None:
         self._env = env
@@ -33,5 +33,5 @@
     def _write(self, text: str) -> None:
         self._env.stdout.write(text)
 
-    def _note(self, text: str) -> None:
+    def _print_notice(self, text: str) -> None:
         print(f'mimosamux: {text}', file=self._env.stderr)
--- a/packages/mimosamux-cli/mimosamux_cli/operators.py
+++ b/packages/mimosamux-cli/mimosamux_cli/operators.py
@@ -1,4 +1,4 @@
-"""Calls to the operator API, which go on at another daemon."""
+"""Client of the operator API with failover between daemons."""
 
 import uuid
 from collections.abc import Callable
@@ -17,78 +17,81 @@
 
 OPERATOR_PATH = '/v1/operator/'
 DRAIN_PATH = OPERATOR_PATH + 'drain'
-TRY_ELSEWHERE = (
+FAILOVER_STATUSES = (
     httpx.codes.SERVICE_UNAVAILABLE,
     httpx.codes.GATEWAY_TIMEOUT,
 )
-AUDIT_PAGE = 500
+AUDIT_PAGE_ENTRIES = 500
 MAX_ROUNDS = 3
-TRY_AGAIN_S = 0.5
+RETRY_DELAY_S = 0.5
 TIMEOUT = httpx.Timeout(60.0, connect=3.0)
 
 
 @dataclass(kw_only=True)
 class OperatorClient:
-    """Asks one daemon after the other until one has answered."""
+    """Sends each call to the entry daemons in turn until one answers."""
 
     addresses: EntryAddresses
     headers: dict[str, str]
     sleep: Callable[[float], None]
 
     def get(self, path: str, **params: Any) -> Any:
-        """Return what the operator API shows at a path."""
-        given = {
+        """Return the JSON resource at a path; omit None parameters."""
+        query = {
             name: value for name, value in params.items() if value is not None
         }
-        return self._ask('GET', path, params=given)
+        return self._send('GET', path, params=query)
 
     def change(self, path: str, body: dict[str, Any]) -> Any:
-        """Make a change, at most once however often it is sent.
+        """Make a change that takes effect at most once.
 
-        A lost answer is settled by sending the same operation id again.
+        Every retry carries the same operation id, so a retry after a lost
+        answer is safe.
         """
         operation = uuid.uuid4().hex
-        return self._ask('POST', path, json={**body, 'operation': operation})
+        return self._send('POST', path, json={**body, 'operation': operation})
 
     def read_audit(self, **filters: Any) -> list[dict[str, Any]]:
-        """Return every entry of the audit trail that filters let pass."""
+        """Return all entries of the audit trail that match the filters."""
         entries: list[dict[str, Any]] = []
         cursor: str | None = None
         while cursor != '':
-            page = self.get('audit', after=cursor, limit=AUDIT_PAGE, **filters)
+            page = self.get(
+                'audit', after=cursor, limit=AUDIT_PAGE_ENTRIES, **filters
+            )
             entries.extend(page['entries'])
             cursor = page['next']
         return entries
 
     def drain(self, daemon: str) -> Any:
-        """Have one daemon stop gracefully, asked at its own address."""
+        """Stop one daemon gracefully by a call to its own address."""
         for member in self.get('status')['daemons']:
             if member['daemon'] == daemon and member['address']:
                 url = self.addresses.as_url(member['address'])
-                answer = self._ask_one('POST', f'{url}{DRAIN_PATH}', {})
+                answer = self._send_to('POST', f'{url}{DRAIN_PATH}', {})
                 if isinstance(answer, str):
                     raise UnavailableError(answer)
                 return answer.json()
         raise CommandError(f'there is no daemon {daemon!r}')
 
     def release(self, content: str) -> Any:
-        """Let a held request run again."""
-        return self._ask('POST', f'release/{content}')
+        """Release a request's content key from quarantine."""
+        return self._send('POST', f'release/{content}')
 
-    def _ask(self, method: str, path: str, **content: Any) -> Any:
+    def _send(self, method: str, path: str, **content: Any) -> Any:
         problem = 'no daemon answers'
         for _ in range(MAX_ROUNDS):
             for url in self.addresses.current():
-                answer = self._ask_one(
+                answer = self._send_to(
                     method, url + OPERATOR_PATH + path, content
                 )
                 if isinstance(answer, httpx.Response):
                     return answer.json()
                 problem = answer
-            self.sleep(TRY_AGAIN_S)
+            self.sleep(RETRY_DELAY_S)
         raise UnavailableError(problem)
 
-    def _ask_one(
+    def _send_to(
         self, method: str, url: str, content: dict[str, Any]
     ) -> httpx.Response | str:
         try:
@@ -99,14 +102,14 @@
             return f'{url}: {error or type(error).__name__}'
         if answer.is_success:
             return answer
-        if answer.status_code in TRY_ELSEWHERE:
-            return message_of(answer)
-        raise error_of(answer)
+        if answer.status_code in FAILOVER_STATUSES:
+            return parse_error_message(answer)
+        raise to_error(answer)
 
 
-def error_of(answer: httpx.Response) -> CommandError:
-    """Return the error that ends the command for an answer."""
-    message = message_of(answer)
+def to_error(answer: httpx.Response) -> CommandError:
+    """Map an error response to the error that ends the command."""
+    message = parse_error_message(answer)
     if answer.status_code == httpx.codes.CONFLICT:
         return ConflictError(message)
     if answer.status_code in (
@@ -117,8 +120,11 @@
     return CommandError(message)
 
 
-def message_of(answer: httpx.Response) -> str:
-    """Return the message of an error answer, with its details."""
+def parse_error_message(answer: httpx.Response) -> str:
+    """Return the message of an error response.
+
+    A conflict also lists the concurrent changes, one per line.
+    """
     try:
         body = answer.json()
         message = str(body['error']['message'])
--- a/packages/mimosamux-cli/mimosamux_cli/output.py
+++ b/packages/mimosamux-cli/mimosamux_cli/output.py
@@ -1,4 +1,4 @@
-"""Output of the commands: tables for people, JSON for programs."""
+"""Formats command output as aligned tables or JSON."""
 
 import json
 from collections.abc import Sequence
@@ -15,7 +15,7 @@
 def write_table(
     columns: Sequence[str], rows: Sequence[Sequence[Any]], stream: TextIO
 ) -> None:
-    """Write rows below their headings, in aligned columns."""
+    """Write column headings and rows, aligned; `none` if there are no rows."""
     if not rows:
         stream.write('none\n')
         return
@@ -28,7 +28,7 @@
 
 
 def as_time(seconds: float) -> str:
-    """Return a wall time, in seconds since 1970, as people read it."""
+    """Format a Unix timestamp as ISO 8601 in UTC, in whole seconds."""
     return datetime.fromtimestamp(seconds, UTC).isoformat(' ', 'seconds')
 
 
--- a/packages/mimosamux-cli/mimosamux_cli/service_caller.py
+++ b/packages/mimosamux-cli/mimosamux_cli/service_caller.py
@@ -1,4 +1,4 @@
-"""A caller of plain services, which sends a call until it is settled."""
+"""Client of plain services that retries a call until its outcome is known."""
 
 import uuid
 from collections.abc import Callable
@@ -13,48 +13,55 @@
     UnavailableError,
     UnknownOutcomeError,
 )
-from mimosamux_cli.operators import message_of
+from mimosamux_cli.operators import parse_error_message
 
 SERVICES_PATH = '/v1/services/'
-FIRST_ATTEMPT = {'X-Mimosamux-Attempt': '1'}
-"""Says that the key is new, so that a refusal can be called not run."""
-MAX_TRIES = 10
-TRY_AGAIN_S = 0.5
-MAX_WAIT_S = 30.0
+FIRST_ATTEMPT_HEADERS = {'X-Mimosamux-Attempt': '1'}
+"""Header that marks the idempotency key as new.
+
+A daemon that refuses such a call can report that it has not run.
+"""
+MAX_ATTEMPTS = 10
+RETRY_DELAY_S = 0.5
+MAX_RETRY_DELAY_S = 30.0
 TIMEOUT = httpx.Timeout(60.0, connect=3.0)
 
 
 @dataclass(kw_only=True)
 class ServiceCaller:
-    """Sends one call under one key, to one daemon after the other."""
+    """Sends one call under one idempotency key to the daemons in turn."""
 
     addresses: EntryAddresses
     headers: dict[str, str]
     sleep: Callable[[float], None]
 
     def call(self, service: str, path: str, data: str, *, key: str) -> str:
-        """Return the service's answer, or raise how it ended instead."""
+        """Return the service's answer.
+
+        Raise a CommandError if the call fails, is refused, has an unknown
+        outcome or reaches no daemon within the permitted attempts.
+        """
         headers = {**self.headers, 'Idempotency-Key': key or uuid.uuid4().hex}
-        problem: CommandError = UnavailableError('no daemon answers')
-        first = FIRST_ATTEMPT if not key else {}
-        for count in range(MAX_TRIES):
+        error: CommandError = UnavailableError('no daemon answers')
+        attempt_headers = FIRST_ATTEMPT_HEADERS if not key else {}
+        for attempt in range(MAX_ATTEMPTS):
             urls = self.addresses.current()
-            url = f'{urls[count % len(urls)]}{SERVICES_PATH}{service}/{path}'
-            answer = self._send(url, data, {**headers, **first})
-            # Whatever came of it, the key may be known from now on.
-            first = {}
+            url = f'{urls[attempt % len(urls)]}{SERVICES_PATH}{service}/{path}'
+            answer = self._send(url, data, {**headers, **attempt_headers})
+            # Even a failed attempt may have recorded the key at a daemon.
+            attempt_headers = {}
             if answer is None:
-                self.addresses.forget()
-                self.sleep(TRY_AGAIN_S)
+                self.addresses.expire()
+                self.sleep(RETRY_DELAY_S)
                 continue
             if answer.is_success:
                 return answer.text
-            problem = _as_error(answer)
+            error = _as_error(answer)
             retry_after = answer.headers.get('Retry-After')
             if retry_after is None:
                 break
-            self.sleep(min(float(retry_after), MAX_WAIT_S))
-        raise problem
+            self.sleep(min(float(retry_after), MAX_RETRY_DELAY_S))
+        raise error
 
     def _send(
         self, url: str, data: str, headers: dict[str, str]
@@ -68,7 +75,7 @@
 
 
 def _as_error(answer: httpx.Response) -> CommandError:
-    message = message_of(answer)
+    message = parse_error_message(answer)
     try:
         body = answer.json()
     except ValueError:
--- a/packages/mimosamux-cli/mimosamux_cli/stories.py
+++ b/packages/mimosamux-cli/mimosamux_cli/stories.py
@@ -1,4 +1,4 @@
-"""The story of one request, put together from the logs of daemons."""
+"""Selects the log lines that concern one request from logs of daemons."""
 
 import pathlib
 import re
@@ -6,12 +6,13 @@
 from dataclasses import dataclass
 from datetime import datetime, timedelta
 
-FIELD = re.compile(r'(\w+)=("(?:[^"\\]|\\.)*"|[^\s"]*)')
-ESCAPED = re.compile(r'\\(.)')
+FIELD_PATTERN = re.compile(r'(\w+)=("(?:[^"\\]|\\.)*"|[^\s"]*)')
+ESCAPE_PATTERN = re.compile(r'\\(.)')
 
-BEFORE = timedelta(seconds=10)
-"""How long before a request news about its endpoints belong to its story:
-news reach every daemon within seconds, even past a store that is down."""
+LEAD_TIME = timedelta(seconds=10)
+"""How long before a request's first line events of its endpoints and daemons
+are included. Reports about endpoints reach every daemon within seconds, even
+during a store outage."""
 STATE_EVENTS = (
     'listening',
     'ready',
@@ -26,35 +27,37 @@
     'left',
     'stopped',
 )
-"""Events of a daemon that bear on every request in its hands."""
+"""Events of a daemon that affect every request it handles."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class LogLine:
-    """One event of a log."""
+    """One event of a daemon log."""
 
     at: datetime
     source: str
-    """The file that it stands in."""
+    """Path of the log file."""
     fields: Mapping[str, str]
     text: str
 
     @property
     def event(self) -> str:
-        """Return the name of the event."""
+        """Name of the event, empty if the line has none."""
         return self.fields.get('event', '')
 
 
 def read_log(path: str) -> Sequence[LogLine]:
-    """Return the events that a log holds; other lines are passed over."""
+    """Return the events of a log file; skip lines that are not events."""
     with pathlib.Path(path).open(errors='replace') as file:
         parsed = (parse_line(text, path) for text in file)
         return [line for line in parsed if line is not None]
 
 
 def parse_line(text: str, source: str) -> LogLine | None:
-    """Return an event, None where a line is not one of a daemon."""
-    fields = {name: _unquote(value) for name, value in FIELD.findall(text)}
+    """Parse a log line; return None if it has no valid timestamp `at`."""
+    fields = {
+        name: _unquote(value) for name, value in FIELD_PATTERN.findall(text)
+    }
     try:
         at = datetime.fromisoformat(fields['at'])
     except (KeyError, ValueError):
@@ -65,32 +68,37 @@
 def _unquote(value: str) -> str:
     if not value.startswith('"'):
         return value
-    return ESCAPED.sub(r'\1', value[1:-1])
+    return ESCAPE_PATTERN.sub(r'\1', value[1:-1])
 
 
-def tell_story(request: str, lines: Iterable[LogLine]) -> Sequence[LogLine]:
-    """Return what bears on a request, in order.
+def select_request_lines(
+    request: str, lines: Iterable[LogLine]
+) -> Sequence[LogLine]:
+    """Return the lines that concern a request, ordered by time.
 
-    Beside its own lines these are what the daemons that had it in hand
-    learned about its endpoints, and what they lost or regained meanwhile,
-    and what any daemon found out about the same content before.
+    These are the request's own lines and the following lines that name no
+    request: lines of any daemon about the same content up to its last line,
+    and lines of the daemons that handled it about its endpoints or their own
+    state (STATE_EVENTS), from LEAD_TIME before its first line to its last.
     """
-    known = sorted(lines, key=lambda line: line.at)
-    own = [line for line in known if line.fields.get('request') == request]
-    if not own:
+    ordered = sorted(lines, key=lambda line: line.at)
+    own_lines = [
+        line for line in ordered if line.fields.get('request') == request
+    ]
+    if not own_lines:
         return ()
-    first, last = own[0].at - BEFORE, own[-1].at
-    sources = {line.source for line in own}
-    endpoints = {line.fields.get('endpoint') for line in own} - {None}
-    contents = {line.fields.get('content') for line in own} - {None}
+    start, end = own_lines[0].at - LEAD_TIME, own_lines[-1].at
+    sources = {line.source for line in own_lines}
+    endpoints = {line.fields.get('endpoint') for line in own_lines} - {None}
+    contents = {line.fields.get('content') for line in own_lines} - {None}
     return [
         line
-        for line in known
+        for line in ordered
         if line.fields.get('request') == request
-        or line.at <= last
+        or line.at <= end
         and 'request' not in line.fields
         and line.fields.get('content') in contents
-        or first <= line.at <= last
+        or start <= line.at <= end
         and line.source in sources
         and 'request' not in line.fields
         and (
--- a/tests/support/site.py
+++ b/tests/support/site.py
@@ -114,7 +114,7 @@
             addresses=EntryAddresses(seeds=seeds, headers=headers),
             headers=headers,
             sleep=time.sleep,
-            show=on_text,
+            on_text=on_text,
         )
 
     def operate(
--- a/tests/test_caller_command.py
+++ b/tests/test_caller_command.py
@@ -103,7 +103,7 @@
         answer = Answer()
         chunk = '{"choices": [{"delta": {"content": "%s"}}]}'
         for identity, text in (('r1:1', 'old'), ('r2:1', 'new')):
-            answer.take(
+            answer.add_event(
                 ServerSentEvent(name='message', id=identity, data=chunk % text)
             )
         self.assertEqual(answer.text, 'new')
@@ -120,7 +120,9 @@
         addresses = EntryAddresses(
             seeds=('a:1',), headers={}, now=lambda: now[0]
         )
-        addresses._ask_one = lambda url: asked.append(url) or (['b:2'], 30.0)
+        addresses._fetch_from = lambda url: (
+            asked.append(url) or (['b:2'], 30.0)
+        )
         addresses.current()
         now[0] = 29.0
         self.assertEqual(addresses.current(), ('http://b:2',))
